--- a/packages/proxy/src/ferry_proxy/_allowances.py
+++ b/packages/proxy/src/ferry_proxy/_allowances.py
@@ -328,7 +328,9 @@
         """Asks a team's keeper; returns None where it does not answer."""
         fut = keeper.call(AllowanceRequest(team, is_passed_on))
         try:
-            reply: object = yield decisions.within(self._ctx.clock, ASK_S, fut)
+            reply: object = yield decisions.with_timeout(
+                self._ctx.clock, ASK_S, fut
+            )
         except (decisions.TimeoutExpiredError, _peers.PeerLostError) as exc:
             decisions.log_debug("%s keeps %s: %s", keeper.peer, team, exc)
             return None
--- a/packages/proxy/src/ferry_proxy/_catalogue.py
+++ b/packages/proxy/src/ferry_proxy/_catalogue.py
@@ -115,9 +115,9 @@
             ),
             self.grace,
         )
-        self._since = decisions.UNREAD
-        self.revision = decisions.UNREAD
-        self.covered = decisions.UNREAD
+        self._since = decisions.UNREAD_REVISION
+        self.revision = decisions.UNREAD_REVISION
+        self.covered = decisions.UNREAD_REVISION
         self.in_force = _in_force.InForce(clock)
         self.nodes: dict[str, _records.NodeEntry] = {}
         self.claims: dict[str, _records.HeldClaim] = {}
@@ -149,7 +149,7 @@
     @property
     def is_read(self) -> bool:
         """Whether the store's items were read yet."""
-        return self.revision > decisions.UNREAD
+        return self.revision > decisions.UNREAD_REVISION
 
     def condition(self, key: str) -> decisions.Revision:
         """Returns the revision that a key has, for a conditional write."""
@@ -288,7 +288,8 @@
     def _cover(self, changes: _store.Changes) -> None:
         self.revision = max(self.revision, changes.revision)
         newest = max(
-            (i.revision for i in changes.items), default=decisions.UNREAD
+            (i.revision for i in changes.items),
+            default=decisions.UNREAD_REVISION,
         )
         # Pages of a snapshot may hold items that are newer than it.
         self.covered = max(self.covered, min(newest, self.revision))
--- a/packages/proxy/src/ferry_proxy/_execution.py
+++ b/packages/proxy/src/ferry_proxy/_execution.py
@@ -249,7 +249,7 @@
         fut = self.send(job, pool, taken, floor)
         limit = job.deadline - begun
         try:
-            reply: _links.Reply = yield decisions.within(
+            reply: _links.Reply = yield decisions.with_timeout(
                 self._clock, limit, fut
             )
         except decisions.TimeoutExpiredError as exc:
--- a/packages/proxy/src/ferry_proxy/_forwarding.py
+++ b/packages/proxy/src/ferry_proxy/_forwarding.py
@@ -160,7 +160,7 @@
     if lost in FREE_TO_LEAVE:
         fut = decisions.start(_unless_quiet(clock, stream, fut))
     try:
-        answer: _peer_messages.Message = yield decisions.within(
+        answer: _peer_messages.Message = yield decisions.with_timeout(
             clock, limit, fut
         )
     except decisions.TimeoutExpiredError:
@@ -187,7 +187,7 @@
     while not fut.done():
         left_s = max(LEAST_PAUSE_S, _forwarder.QUIET_S - stream.owed_s)
         pause = decisions.sleep(clock, left_s)
-        yield decisions.either(decisions.settled(fut), pause)
+        yield decisions.first_completed(decisions.settled(fut), pause)
         if not fut.done() and stream.owed_s >= _forwarder.QUIET_S:
             raise _peers.PeerLostError(f"{stream.peer} is silent")
     return fut.result()
--- a/packages/proxy/src/ferry_proxy/_groups.py
+++ b/packages/proxy/src/ferry_proxy/_groups.py
@@ -209,7 +209,7 @@
     def until_leader_changes(self, limit_s: float) -> "decisions.Future[None]":
         """Returns a future that is done at a new leader or after a time."""
         timer = decisions.sleep(self._clock, limit_s)
-        return decisions.either(self._changed, timer)
+        return decisions.first_completed(self._changed, timer)
 
     # -- questions -------------------------------------------------------
 
@@ -253,7 +253,7 @@
         enough = decisions.settle_all(
             futs, lambda _: self._sample(reports) is not None
         )
-        yield decisions.either(
+        yield decisions.first_completed(
             decisions.settled(enough), decisions.sleep(self._clock, ROUND_S)
         )
         self._take_round(reports)
--- a/packages/proxy/src/ferry_proxy/_pools.py
+++ b/packages/proxy/src/ferry_proxy/_pools.py
@@ -171,7 +171,7 @@
         fut = taken.link.run([command])[0]
         limit_s = max(self._policy.probe_timeout_s, self.contact.patience_s)
         try:
-            reply: _links.Reply = yield decisions.within(
+            reply: _links.Reply = yield decisions.with_timeout(
                 self._clock, limit_s, fut
             )
         except (decisions.TimeoutExpiredError, _links.LinkLostError) as exc:
--- a/packages/proxy/src/ferry_proxy/_promotions.py
+++ b/packages/proxy/src/ferry_proxy/_promotions.py
@@ -229,7 +229,9 @@
             pool.member.born if pool else 0,
         )
         futs = [
-            decisions.within(self._ctx.clock, OPINION_WAIT_S, s.call(question))
+            decisions.with_timeout(
+                self._ctx.clock, OPINION_WAIT_S, s.call(question)
+            )
             for s in self._ctx.mesh.streams
         ]
         settled = yield decisions.settle_all(futs, lambda _: False)
--- a/packages/proxy/src/ferry_proxy/_registrar.py
+++ b/packages/proxy/src/ferry_proxy/_registrar.py
@@ -70,7 +70,7 @@
         self._catalogue = catalogue
         self._follower = follower
         self._mesh = mesh
-        self._delay_s = SPREAD_S * decisions.spread_share("entry", own.name)
+        self._delay_s = SPREAD_S * decisions.stagger_fraction("entry", own.name)
         self._registering = False
         self._asking = False
         self._sources = _copy_sources.CopySources(
@@ -155,7 +155,7 @@
                 if stream.owed_s >= SILENT_S:
                     raise _peers.PeerLostError(f"{stream.peer} is silent")
                 pause = decisions.sleep(self._clock, LOOK_S)
-                yield decisions.either(decisions.settled(fut), pause)
+                yield decisions.first_completed(decisions.settled(fut), pause)
             reply = fut.result()
             if isinstance(reply, _peer_messages.SyncReply):
                 self._take(reply.batch, stream.peer)
--- a/packages/proxy/src/ferry_proxy/_transactions.py
+++ b/packages/proxy/src/ferry_proxy/_transactions.py
@@ -221,7 +221,7 @@
         if not unsure:
             self._close_if_quiet(pool, taken, fut)
         try:
-            reply: _links.Reply = yield decisions.within(
+            reply: _links.Reply = yield decisions.with_timeout(
                 self._clock, limit, fut
             )
         except decisions.TimeoutExpiredError as exc:
