--- a/packages/decisions/src/ferry_decisions/_admission.py
+++ b/packages/decisions/src/ferry_decisions/_admission.py
@@ -1,10 +1,11 @@
-"""Who gets the next slot of a member.
-
-The serving node of a member owns all its slots, so one queue decides. The
-`fair` policy is weighted fair queueing by customer, in start-time order (Goyal,
-Vin and Cheng, 1996): each customer's virtual time moves by its slot seconds
-over its share, and the customer furthest behind goes next. It is
-work-conserving. `fifo` and `static` are the baselines of the measurements.
+"""Admission control: assigns a member's execution slots to customers.
+
+The serving node of a member owns all of its slots, so a single queue makes
+every decision. The `fair` policy is start-time fair queueing (Goyal, Vin and
+Cheng, 1996), weighted by customer: a customer's virtual time advances by its
+slot seconds divided by its share, and the customer with the least virtual time
+goes next. The policy is work-conserving. `fifo`, `slack` and `static` are
+baselines for benchmarks.
 """
 
 import collections
@@ -20,20 +21,24 @@
 from ferry_decisions import _registry
 from ferry_decisions import _timers
 
-FIRST_ESTIMATE_S = 0.005
-ESTIMATE_WEIGHT = 0.1
+# Estimated slot time of a statement before any statement has finished.
+INITIAL_SLOT_TIME_S = 0.005
+# Weight of the latest sample in the moving average of slot times.
+SLOT_TIME_WEIGHT = 0.1
+# Slot seconds by which an idle customer may run ahead of the others.
 BURST_S = 0.2
 UNLIMITED = 1 << 30
 
 
 @attrs.define(eq=False, slots=True)
 class Slot:
-    """The right to run one statement at a member.
+    """Permission to run one statement on a member.
 
     Attributes:
-        customer: Whose statement it is.
-        granted_at: When the slot was given, in seconds.
-        charged_s: Slot seconds that its customer was charged beforehand.
+        customer: The customer that sent the statement.
+        granted_at: Time at which the slot was granted, in seconds.
+        charged_s: Estimated slot seconds charged when the slot was granted;
+            `AdmissionQueue.release` corrects the charge.
     """
 
     customer: str
@@ -43,70 +48,72 @@
 
 @attrs.define(eq=False, slots=True)
 class Waiter:
-    """A statement that waits for a slot.
+    """A queued statement.
 
     Attributes:
-        customer: Whose statement it is.
-        deadline: When its caller stops waiting, in seconds.
-        since: When it began to wait, in seconds.
-        fut: Done with the slot.
-        timer: Ends the wait at the deadline.
+        customer: The customer that sent the statement.
+        deadline: Time at which its caller stops waiting, in seconds.
+        queued_at: Time at which it was queued, in seconds.
+        future: Completes with the granted slot.
+        timer: Expires the waiter at its deadline.
     """
 
     customer: str
     deadline: float
-    since: float
-    fut: "_flows.Future[Slot]"
+    queued_at: float
+    future: "_flows.Future[Slot]"
     timer: _timers.Timer | None = None
 
 
 @attrs.define(slots=True)
 class _Account:
-    """One customer's part in the queue."""
+    """The scheduling state of one customer."""
 
     share: int
     queue_limit: int
     limit: int
     waiters: collections.deque[Waiter] = attrs.field(factory=collections.deque)
-    virtual: float = 0.0
+    virtual_time: float = 0.0
     running: int = 0
 
     @property
     def ready(self) -> bool:
-        """Whether a statement waits that may run."""
+        """Whether a statement is queued and the slot limit allows it."""
         return bool(self.waiters) and self.running < self.limit
 
 
-class Order(typing.Protocol):
-    """Chooses whose statement runs next."""
+class AdmissionPolicy(typing.Protocol):
+    """Chooses the customer whose statement runs next."""
 
     def pick(self, accounts: dict[str, _Account], slots: int) -> str | None:
-        """Returns a customer with a waiter, or None to leave a slot idle."""
+        """Returns a customer that is ready, or None to leave a slot idle."""
 
 
-ADMISSION_POLICIES: _registry.Registry[Callable[[], Order]] = (
+ADMISSION_POLICIES: _registry.Registry[Callable[[], AdmissionPolicy]] = (
     _registry.Registry("admission")
 )
 
 
 @ADMISSION_POLICIES.register("fair")
-class FairOrder:
-    """The waiting customer that is furthest behind its share."""
+class FairPolicy:
+    """Picks the ready customer that is furthest behind its share."""
 
     def pick(self, accounts: dict[str, _Account], slots: int) -> str | None:
-        """Returns the waiting customer with the least virtual time."""
-        waiting = [(a.virtual, name) for name, a in accounts.items() if a.ready]
+        """Returns the ready customer with the least virtual time."""
+        waiting = [
+            (a.virtual_time, name) for name, a in accounts.items() if a.ready
+        ]
         return min(waiting)[1] if waiting else None
 
 
 @ADMISSION_POLICIES.register("fifo")
-class FifoOrder:
-    """First come, first served: a baseline."""
+class FifoPolicy:
+    """Baseline: first come, first served."""
 
     def pick(self, accounts: dict[str, _Account], slots: int) -> str | None:
-        """Returns the customer whose first waiter came first."""
+        """Returns the customer whose oldest statement was queued first."""
         heads = [
-            (a.waiters[0].since, name)
+            (a.waiters[0].queued_at, name)
             for name, a in accounts.items()
             if a.ready
         ]
@@ -114,16 +121,16 @@
 
 
 @ADMISSION_POLICIES.register("slack")
-class SlackOrder:
-    """The waiter with the least time left: a baseline.
+class SlackPolicy:
+    """Baseline: the statement with the earliest deadline goes first.
 
     Ordering by slack to the deadline is the request arbitration of Prism
-    (section 6.2). It is kept for the measurements only: see the decision
-    record on fair shares.
+    (section 6.2). It is kept for benchmarks only: see the decision record on
+    fair shares.
     """
 
     def pick(self, accounts: dict[str, _Account], slots: int) -> str | None:
-        """Returns the customer whose first waiter has the least time left."""
+        """Returns the customer whose oldest statement has the least slack."""
         heads = [
             (a.waiters[0].deadline, name)
             for name, a in accounts.items()
@@ -133,57 +140,59 @@
 
 
 @ADMISSION_POLICIES.register("static")
-class StaticOrder:
-    """A fixed part of the slots for each customer: a baseline."""
+class StaticPolicy:
+    """Baseline: a fixed quota of slots for each customer."""
 
     def pick(self, accounts: dict[str, _Account], slots: int) -> str | None:
-        """Returns a waiting customer that is below its fixed part."""
+        """Returns a ready customer that is below its quota."""
         total = sum(a.share for a in accounts.values())
         for name, account in accounts.items():
-            part = max(1, math.floor(slots * account.share / total))
-            if account.ready and account.running < part:
+            quota = max(1, math.floor(slots * account.share / total))
+            if account.ready and account.running < quota:
                 return name
         return None
 
 
 class AdmissionQueue:
-    """Gives the slots of one member to customers."""
+    """Queues statements for the slots of one member."""
 
     def __init__(
         self,
         timers: _timers.TimerService,
         slots: int,
-        order: Order,
+        policy: AdmissionPolicy,
         burst_s: float = BURST_S,
         limit: Callable[[_contracts.Contract], int] = lambda _: UNLIMITED,
     ) -> None:
-        """Makes an empty queue.
+        """Creates an empty queue.
 
         Args:
             timers: The timer service.
-            slots: Slots that may be in use at once.
-            order: Chooses who goes next.
-            burst_s: Slot seconds that a customer may run ahead.
-            limit: Returns the slots that one customer may use at once.
+            slots: Maximum number of slots in use at once.
+            policy: The policy that picks the next customer.
+            burst_s: Slot seconds by which a customer that was idle may run
+                ahead of the others.
+            limit: Returns the maximum number of slots that the customer of a
+                contract may use at once.
         """
         self._burst_s = burst_s
         self._limit = limit
         self._timers = timers
         self._slots = slots
-        self._order = order
+        self._policy = policy
         self._accounts: dict[str, _Account] = {}
         self._running = 0
         self._waiting = 0
-        self._clock = 0.0
-        self._estimate_s = FIRST_ESTIMATE_S
+        self._virtual_clock = 0.0
+        self._slot_time_s = INITIAL_SLOT_TIME_S
 
     @property
     def running(self) -> int:
-        """Slots in use."""
+        """Number of slots in use."""
         return self._running
 
     def depths(self) -> dict[str, int]:
-        """Returns how many statements wait, by customer."""
+        """Returns the number of queued statements by customer."""
         return {
             n: len(a.waiters) for n, a in self._accounts.items() if a.waiters
         }
@@ -191,10 +200,11 @@
     def acquire(
         self, contract: _contracts.Contract, deadline: float
     ) -> "_flows.Future[Slot]":
-        """Returns a future of a slot.
+        """Requests a slot; returns a future that completes with it.
 
-        It fails with `RequestFailedError` at once when the queue is full or
-        the wait would outlast the deadline, and at the deadline otherwise.
+        The future fails with `RequestFailedError` immediately if the
+        customer's queue is full or the expected wait exceeds the deadline, and
+        at the deadline if no slot was granted by then.
         """
         account = self._account(contract)
         now = self._timers.now()
@@ -211,23 +221,23 @@
                 _outcomes.RequestFailedError(_outcomes.OVERLOADED)
             )
         waiter = Waiter(contract.customer, deadline, now, _flows.Future())
-        self._wake(account)
+        self._limit_credit(account)
         account.waiters.append(waiter)
         self._waiting += 1
         waiter.timer = self._timers.after(
             deadline - now, lambda: self._expire(waiter)
         )
         self._dispatch()
-        return waiter.fut
+        return waiter.future
 
     def release(self, slot: Slot) -> None:
-        """Gives a slot back and charges its customer for the time."""
+        """Frees a slot and charges its customer for the time used."""
         now = self._timers.now()
         used = now - slot.granted_at
         account = self._accounts[slot.customer]
         account.running -= 1
-        account.virtual += (used - slot.charged_s) / account.share
-        self._estimate_s += ESTIMATE_WEIGHT * (used - self._estimate_s)
+        account.virtual_time += (used - slot.charged_s) / account.share
+        self._slot_time_s += SLOT_TIME_WEIGHT * (used - self._slot_time_s)
         self._running -= 1
         self._dispatch()
 
@@ -235,7 +245,7 @@
         account = self._accounts.get(contract.customer)
         if account is None:
             account = _Account(contract.share, contract.queue, 0)
-            account.virtual = self._clock
+            account.virtual_time = self._virtual_clock
             self._accounts[contract.customer] = account
         account.share = contract.share
         account.queue_limit = contract.queue
@@ -243,35 +253,35 @@
         return account
 
     def _expected_wait(self, account: _Account) -> float:
-        """Returns the wait of one more statement, from what runs now."""
+        """Estimates the wait of one more statement at the present load."""
         busy = sum(a.share for a in self._accounts.values() if a.waiters)
         if not account.waiters:
             return 0.0
-        part = self._slots * account.share / max(busy, account.share)
-        return len(account.waiters) * self._estimate_s / part
+        quota = self._slots * account.share / max(busy, account.share)
+        return len(account.waiters) * self._slot_time_s / quota
 
     def _grant(self, customer: str, account: _Account, now: float) -> Slot:
-        self._wake(account)
-        self._clock = max(self._clock, account.virtual)
-        account.virtual += self._estimate_s / account.share
+        self._limit_credit(account)
+        self._virtual_clock = max(self._virtual_clock, account.virtual_time)
+        account.virtual_time += self._slot_time_s / account.share
         account.running += 1
         self._running += 1
-        return Slot(customer, now, self._estimate_s)
+        return Slot(customer, now, self._slot_time_s)
 
-    def _wake(self, account: _Account) -> None:
-        """Limits what a customer that was idle may catch up on.
+    def _limit_credit(self, account: _Account) -> None:
+        """Limits the credit of a customer that was idle.
 
-        One that used less than its share may run ahead of the others for
-        `BURST_S` slot seconds, so that a short burst does not wait although
-        its customer keeps to its share; nobody saves up more than that.
+        A customer that used less than its share may run ahead of the others
+        by `burst_s` slot seconds, so that a short burst does not wait while
+        its customer stays within its share. No customer accumulates more.
         """
         if not account.running and not account.waiters:
-            floor = self._clock - self._burst_s / account.share
-            account.virtual = max(account.virtual, floor)
+            floor = self._virtual_clock - self._burst_s / account.share
+            account.virtual_time = max(account.virtual_time, floor)
 
     def _dispatch(self) -> None:
         while self._running < self._slots and self._waiting:
-            customer = self._order.pick(self._accounts, self._slots)
+            customer = self._policy.pick(self._accounts, self._slots)
             if customer is None:
                 return
             account = self._accounts[customer]
@@ -279,19 +289,19 @@
             self._waiting -= 1
             if waiter.timer is not None:
                 waiter.timer.cancel()
-            if waiter.fut.done():
+            if waiter.future.done():
                 continue
             slot = self._grant(customer, account, self._timers.now())
-            _flows.resolve(waiter.fut, slot)
+            _flows.resolve(waiter.future, slot)
 
     def _expire(self, waiter: Waiter) -> None:
-        if waiter.fut.done():
+        if waiter.future.done():
             return
         waiters = self._accounts[waiter.customer].waiters
         if waiter in waiters:
             waiters.remove(waiter)
             self._waiting -= 1
         _flows.reject(
-            waiter.fut,
+            waiter.future,
             _outcomes.RequestFailedError(_outcomes.DEADLINE_IN_QUEUE),
         )
--- a/packages/decisions/src/ferry_decisions/_blackboard.py
+++ b/packages/decisions/src/ferry_decisions/_blackboard.py
@@ -1,8 +1,8 @@
-"""The blackboard that controllers read and write.
+"""A blackboard through which a node's controllers share state.
 
 Each entry has a typed key. A controller declares the keys that it reads and
-writes; it runs when one of those that it reads has changed, and may write
-only what it declared.
+the keys that it writes. It runs after each change of a key that it reads, and
+may write only the keys that it declared.
 """
 
 from collections.abc import Iterable
@@ -15,11 +15,11 @@
 
 @attrs.frozen(slots=True, eq=False)
 class BoardKey(typing.Generic[T]):
-    """The name and the type of an entry.
+    """A typed key of a blackboard entry; compared by identity.
 
     Attributes:
-        name: For logs and the status page.
-        default: What the entry holds before anyone has written it.
+        name: The entry's name in logs and on the status page.
+        default: The entry's value before the first write.
     """
 
     name: str
@@ -27,55 +27,55 @@
 
 
 class UndeclaredAccessError(Exception):
-    """A controller touched an entry that it had not declared."""
+    """A controller accessed an entry that it had not declared."""
 
 
 class Controller(typing.Protocol):
-    """A part that acts on changes of the blackboard."""
+    """A component that reacts to changes on the blackboard."""
 
     reads: tuple[BoardKey[typing.Any], ...]
     writes: tuple[BoardKey[typing.Any], ...]
 
     def run(self, board: "BoardView") -> None:
-        """Acts on the present state."""
+        """Reacts to the present state of the entries."""
 
 
 class Blackboard:
-    """Typed entries, and the controllers that depend on them."""
+    """Holds typed entries and runs the controllers that depend on them."""
 
     def __init__(self) -> None:
         self._entries: dict[BoardKey[typing.Any], typing.Any] = {}
         self._controllers: list[Controller] = []
-        self._due: list[Controller] = []
+        self._pending: list[Controller] = []
         self._running = False
 
     def subscribe(self, controller: Controller) -> None:
         """Adds a controller and runs it once."""
         self._controllers.append(controller)
-        self._due.append(controller)
-        self._settle()
+        self._pending.append(controller)
+        self._run_pending()
 
     def read(self, key: BoardKey[T]) -> T:
         """Returns the value of an entry."""
         return typing.cast(T, self._entries.get(key, key.default))
 
     def write(self, key: BoardKey[T], value: T) -> None:
-        """Sets an entry; an equal value changes nothing."""
+        """Sets an entry and runs its readers, unless the value is equal."""
         if self.read(key) == value:
             return
         self._entries[key] = value
         for controller in self._controllers:
-            if key in controller.reads and controller not in self._due:
-                self._due.append(controller)
-        self._settle()
+            if key in controller.reads and controller not in self._pending:
+                self._pending.append(controller)
+        self._run_pending()
 
-    def _settle(self) -> None:
+    def _run_pending(self) -> None:
         if self._running:
             return
         self._running = True
         try:
-            while self._due:
-                controller = self._due.pop(0)
+            while self._pending:
+                controller = self._pending.pop(0)
                 controller.run(
                     BoardView(self, controller.reads, controller.writes)
                 )
@@ -84,7 +84,7 @@
 
 
 class BoardView:
-    """The part of the blackboard that one controller declared."""
+    """Access to the blackboard limited to one controller's declared keys."""
 
     def __init__(
         self,
@@ -100,7 +100,8 @@
         """Returns an entry that the controller declared.
 
         Raises:
-            UndeclaredAccessError: It declared neither reading nor writing it.
+            UndeclaredAccessError: The key was declared neither as read nor as
+                written.
         """
         if key not in self._reads and key not in self._writes:
             raise UndeclaredAccessError(key.name)
@@ -110,7 +111,7 @@
         """Sets an entry that the controller declared to write.
 
         Raises:
-            UndeclaredAccessError: It did not.
+            UndeclaredAccessError: The key was not declared as written.
         """
         if key not in self._writes:
             raise UndeclaredAccessError(key.name)
