--- a/packages/decisions/src/ferry_decisions/_contracts.py
+++ b/packages/decisions/src/ferry_decisions/_contracts.py
@@ -1,8 +1,8 @@
-"""Contracts of customers: what an operator writes and every node honours.
+"""Customer contracts, written by operators and enforced by every node.
 
-A contract has a version. Nodes keep the highest version that they have seen
-of each customer's contract, from whatever source, so a change never reverts;
-a deleted contract stays as a tombstone with a version of its own.
+A contract carries a version. Each node keeps the highest version it has seen
+of each customer's contract, whatever the source, so a change never reverts. A
+deleted contract stays as a tombstone with its own version.
 """
 
 import hashlib
@@ -13,34 +13,34 @@
 
 from ferry_decisions import _structuring
 
-_NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
-_LOGIN = re.compile(r"[A-Za-z0-9_.-]{1,63}")
+_NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
+_LOGIN_PATTERN = re.compile(r"[A-Za-z0-9_.-]{1,63}")
 MAX_STALENESS_S = 86_400.0
 MAX_SHARE = 10_000
 CONTRACT_PREFIX = "contracts/"
 
 
 class UnknownCustomerError(KeyError):
-    """No contract in force covers the customer."""
+    """The customer has no contract that is in force."""
 
 
-def _named(pattern: re.Pattern[str]) -> typing.Any:
+def _matches(pattern: re.Pattern[str]) -> typing.Any:
     return attrs.validators.matches_re(pattern)
 
 
 @attrs.frozen(slots=True)
 class Login:
-    """A login of a customer, with what SCRAM-SHA-256 needs to check it.
+    """A customer's login, with its SCRAM-SHA-256 verifier.
 
     Attributes:
         name: The part of the user name before the `@`.
-        salt: Base64 text.
-        stored_key: Base64 text.
-        server_key: Base64 text.
-        iterations: Rounds of PBKDF2 that made the keys.
+        salt: The salt, in Base64.
+        stored_key: The SCRAM StoredKey, in Base64.
+        server_key: The SCRAM ServerKey, in Base64.
+        iterations: The PBKDF2 iteration count.
     """
 
-    name: str = attrs.field(validator=_named(_LOGIN))
+    name: str = attrs.field(validator=_matches(_LOGIN_PATTERN))
     salt: str
     stored_key: str
     server_key: str
@@ -55,29 +55,31 @@
 
     Attributes:
         customer: The customer's identifier.
-        databases: Databases that its logins may use.
-        share: Its weight in the pool, against the other customers' weights.
-        connections: Endpoint connections of one member that it may hold at
-            once, half of them for single statements, half for transactions.
-        staleness_s: Greatest age, in seconds, of a replica's data that its
-            reads accept by default. 0 sends reads to the primary.
-        commit_wait_s: Longest wait, in seconds, for a commit to be confirmed
-            by a majority before its caller is told that the outcome is
+        databases: The databases that its logins may use.
+        share: Its scheduling weight, relative to the other customers' shares.
+        connections: Maximum number of endpoint connections to one member that
+            it may hold at once: half for single statements, half for
+            transactions.
+        staleness_s: Maximum age, in seconds, of replica data that its reads
+            accept by default. 0 sends reads to the primary.
+        commit_wait_s: Maximum time, in seconds, to wait for a majority to
+            confirm a commit before its caller is told that the outcome is
             unknown.
-        queue: Statements that may wait at one member before more are refused.
-        logins: Who may connect in the customer's name.
-        version: Raised by one with each change.
-        change_id: Identifies the change that made this version.
+        queue: Maximum number of statements that may wait at one member;
+            further statements are refused.
+        logins: The logins that may connect for the customer.
+        version: Incremented with each change.
+        change_id: Identifies the change that created this version.
         changed_by: The operator who made the change.
-        changed_at: When, as an ISO 8601 text; for readers only.
+        changed_at: Time of the change in ISO 8601; informational only.
         deleted: Whether the contract is a tombstone.
     """
 
-    customer: str = attrs.field(validator=_named(_NAME))
+    customer: str = attrs.field(validator=_matches(_NAME_PATTERN))
     databases: tuple[str, ...] = attrs.field(
         validator=attrs.validators.and_(
             attrs.validators.min_len(1),
-            attrs.validators.deep_iterable(_named(_NAME)),
+            attrs.validators.deep_iterable(_matches(_NAME_PATTERN)),
         )
     )
     share: int = attrs.field(
@@ -104,7 +106,7 @@
     deleted: bool = False
 
     def login(self, name: str) -> Login | None:
-        """Returns the login of that name, if the contract has it."""
+        """Returns the login with that name, or None."""
         for login in self.logins:
             if login.name == name:
                 return login
@@ -112,22 +114,22 @@
 
 
 def contract_from_json(raw: object) -> Contract:
-    """Returns a contract from plain JSON values.
+    """Builds a contract from decoded JSON.
 
     Raises:
-        InvalidDocumentError: With every mistake of the document.
+        InvalidDocumentError: The document is invalid; lists every error in it.
     """
     return _structuring.structure(raw, Contract, "contract")
 
 
 class ContractBook:
-    """The contracts that a node knows, the newest version of each."""
+    """The newest known version of each customer's contract."""
 
     def __init__(self) -> None:
         self._contracts: dict[str, Contract] = {}
 
     def merge(self, contract: Contract) -> bool:
-        """Takes a contract in if it is newer; returns whether it was."""
+        """Stores a contract if it is newer; returns whether it was."""
         known = self._contracts.get(contract.customer)
         if known is not None and known.version >= contract.version:
             return False
@@ -138,7 +140,8 @@
         """Returns the contract in force for a customer.
 
         Raises:
-            UnknownCustomerError: There is none, or it was deleted.
+            UnknownCustomerError: The customer has no contract, or it was
+                deleted.
         """
         contract = self._contracts.get(customer)
         if contract is None or contract.deleted:
@@ -146,11 +149,11 @@
         return contract
 
     def versions(self) -> dict[str, int]:
-        """Returns the version known of each customer, tombstones included."""
+        """Returns the known version by customer, including tombstones."""
         return {name: c.version for name, c in self._contracts.items()}
 
     def newer_than(self, versions: dict[str, int]) -> list[Contract]:
-        """Returns the contracts of which `versions` shows an older state."""
+        """Returns the contracts that are newer than those in `versions`."""
         return [
             contract
             for name, contract in self._contracts.items()
@@ -158,11 +161,11 @@
         ]
 
     def digest(self) -> str:
-        """Returns a short text that is equal for equal books."""
+        """Returns a short digest that is equal for equal books."""
         text = ",".join(f"{n}={v}" for n, v in sorted(self.versions().items()))
         return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
 
     def in_force(self) -> list[Contract]:
-        """Returns all contracts that are not deleted, by customer."""
+        """Returns all contracts that are not deleted, sorted by customer."""
         live = [c for c in self._contracts.values() if not c.deleted]
         return sorted(live, key=lambda c: c.customer)
--- a/packages/decisions/src/ferry_decisions/_databases.py
+++ b/packages/decisions/src/ferry_decisions/_databases.py
@@ -1,8 +1,9 @@
-"""Databases, their members, and the record of who is primary.
+"""Databases, their members, and the record that names the primary.
 
-The record of a database is the only thing about it that has to be agreed. It
-lives under one key of the platform's store and changes once a promotion is
-claimed and once it is done, not on a schedule.
+The record is the only state of a database that requires consensus. It is
+stored under one key of the platform's store and is written twice per
+promotion, when the term is claimed and when the promotion is complete, and
+never periodically.
 """
 
 import attrs
@@ -13,12 +14,12 @@
 
 @attrs.frozen(slots=True)
 class Member:
-    """One member of a database, an endpoint.
+    """One member of a database: an endpoint that holds a copy of it.
 
     Attributes:
-        name: Unique within the database.
-        data_centre: Where it runs.
-        host: Its IP number.
+        name: Its name, unique within the database.
+        data_centre: The data centre in which it runs.
+        host: Its IP address.
         port: Its TCP port.
     """
 
@@ -33,19 +34,20 @@
 
     @property
     def address(self) -> str:
-        """Its `host:port`, as the platform's list of VMs names it."""
+        """Its `host:port`, as given in the platform's list of VMs."""
         return f"{self.host}:{self.port}"
 
 
 @attrs.frozen(slots=True)
 class Database:
-    """A replicated database as the settings describe it.
+    """The configuration of a replicated database.
 
     Attributes:
-        name: Unique in the fleet.
-        members: All its members.
-        slots: Statements that may run at once on one member.
-        connections: Endpoint connections that all members together bear.
+        name: Its name, unique in the fleet.
+        members: All of its members.
+        slots: Maximum number of statements that run at once on one member.
+        connections: Maximum number of endpoint connections, over all members
+            together.
     """
 
     name: str
@@ -58,9 +60,9 @@
     @connections.validator
     def _check_connections(self, _: object, value: int) -> None:
         count = len(self.members)
-        least = count * count + count - 1 + count * self.slots + 1
-        if value < least:
-            raise ValueError(f"connections must be at least {least}")
+        minimum = count * count + count - 1 + count * self.slots + 1
+        if value < minimum:
+            raise ValueError(f"connections must be at least {minimum}")
 
     def member(self, name: str) -> Member:
         """Returns a member by name.
@@ -75,14 +77,14 @@
 
     @property
     def majority(self) -> int:
-        """How many members are more than half."""
+        """The smallest number of members that is more than half."""
         return len(self.members) // 2 + 1
 
     @property
     def control_connections(self) -> int:
-        """Connections kept for control, all members together.
+        """Connections reserved for control, over all members together.
 
-        The node that serves a member watches every member, and the one that
+        The node that serves a member watches every member, and the node that
         serves the primary waits at each replica for confirmations.
         """
         count = len(self.members)
@@ -90,32 +92,33 @@
 
     @property
     def replica_connections(self) -> int:
-        """Connections for statements at one replica: one for each slot."""
+        """Connections for statements on one replica: one for each slot."""
         return self.slots
 
     @property
     def primary_connections(self) -> int:
-        """Connections for statements at the primary: what the rest leaves."""
+        """Connections for statements on the primary: all remaining ones."""
         replicas = (len(self.members) - 1) * self.replica_connections
         return self.connections - self.control_connections - replicas
 
     @property
     def transaction_connections(self) -> int:
-        """Connections at the primary that open transactions may hold."""
+        """Connections to the primary that open transactions may hold."""
         return self.primary_connections - self.slots
 
 
 @attrs.frozen(slots=True)
 class Record:
-    """Who is primary of a database, as agreed through the store.
+    """The primary of a database, as agreed through the store.
 
     Attributes:
         database: The database's name.
-        term: The term that was claimed.
+        term: The claimed term.
         primary: The member that leads `term`; empty while the claim is open.
         claimant: The node that claimed the term.
-        claim_id: Identifies the claim, to read back a lost answer.
-        starts: Pairs of a term and its first index.
+        claim_id: Identifies the claim, so that a claim whose reply was lost
+            can be recognised when the record is read back.
+        starts: Pairs of a term and the log index at which it starts.
     """
 
     database: str
@@ -127,7 +130,7 @@
 
     @property
     def history(self) -> _positions.History:
-        """The starts as a history."""
+        """The starts of terms as a `History`."""
         return _positions.History(self.starts)
 
     def newer_than(self, other: "Record | None") -> bool:
@@ -144,44 +147,45 @@
 
 
 def database_from_json(raw: object) -> Database:
-    """Returns a database's description from plain JSON values.
+    """Builds a database's configuration from decoded JSON.
 
     Raises:
-        InvalidDocumentError: With every mistake of the document.
+        InvalidDocumentError: The document is invalid; lists every error in it.
     """
     return _structuring.structure(raw, Database, "database")
 
 
 def record_from_json(raw: object) -> Record:
-    """Returns a record from plain JSON values.
+    """Builds a record from decoded JSON.
 
     Raises:
-        InvalidDocumentError: The document has another form.
+        InvalidDocumentError: The document is not a record.
     """
     return _structuring.structure(raw, Record, "record")
 
 
 @attrs.frozen(slots=True)
 class MemberStatus:
-    """What a member says of itself.
+    """A member's report of its own state.
 
     Attributes:
-        name: The member.
-        promised: The highest term it was fenced at; it takes no entry and no
-            order of an earlier one.
-        is_primary: Whether it believes that it leads.
-        received: How much its log holds; this survives its restart. The term
-            of the position is the last one whose *start* the log has reached:
-            a member that follows a new primary counts in the new term only
-            when it holds all that the term began with, else its shorter log
-            would win over one that holds acknowledged entries.
-        applied: How much of it its reads show, in the same term.
+        name: The member's name.
+        promised: The highest term at which it was fenced; it accepts neither
+            log entries nor orders of an earlier term.
+        is_primary: Whether it believes that it is the primary.
+        received: The end of its log, which survives a restart. The term of
+            this position is the last one whose *start* the log has reached.
+            A member that follows a new primary reports the new term only once
+            it holds everything up to the start of that term; otherwise its
+            shorter log would outrank one that holds acknowledged entries.
+        applied: The position up to which its reads show the log, in the same
+            term.
         term: The term that it leads or follows.
-        owner: The node that owns it, with the id of its ownership; statements
-            of other nodes are refused.
-        guests: Connections for statements that another owner has left.
-        upstream_silence_s: Seconds since it last heard of its primary; 0 for
-            the primary itself.
+        owner: The node that owns it, with the ownership's id; statements from
+            other nodes are refused.
+        guests: Statement connections left open by a previous owner.
+        upstream_silence_s: Seconds since it last heard from its primary; 0
+            for the primary itself.
     """
 
     name: str
--- a/packages/decisions/src/ferry_decisions/_detector.py
+++ b/packages/decisions/src/ferry_decisions/_detector.py
@@ -1,10 +1,10 @@
-"""Detection of a primary that is gone, from more than one place.
+"""Failure detection for primaries, with a vote by data centre.
 
-A node suspects a primary that gave no sign of life for a while, or whose
-machine refuses connections for a shorter while. It acts only when a majority
-of the members' data centres agree: a data centre speaks through the node that
-serves its member, or through the replica itself, which knows how long its
-stream from the primary has been silent.
+A node suspects a primary that has been silent for some time, or whose host has
+refused connections for a shorter time. A primary is replaced only when a
+majority of the members' data centres agree. A data centre votes through the
+node that serves its member, or through the replica itself, which knows how long
+its replication stream from the primary has been silent.
 """
 
 import math
@@ -17,14 +17,15 @@
 
 @attrs.frozen(slots=True)
 class DetectorSettings:
-    """How patient the detector is.
+    """Timeouts of the failure detector, in seconds.
 
     Attributes:
-        silence_s: Silence after which a member is suspected. It has to be
-            longer than the pauses that must not cause a promotion.
-        refused_s: How long a machine must refuse connections.
-        lateness_s: A timer that is later than this shows that this process
-            was paused; the pause is not held against the members.
+        silence_s: Silence after which a member is suspected. It must exceed
+            the pauses that must not cause a promotion.
+        refused_s: How long a member's host must refuse connections before the
+            member is suspected.
+        pause_threshold_s: A timer delayed by this much or more indicates that
+            this process was paused; members are not suspected for that time.
     """
 
     silence_s: float = attrs.field(
@@ -33,23 +34,23 @@
     refused_s: float = attrs.field(
         default=0.3, validator=attrs.validators.gt(0)
     )
-    lateness_s: float = attrs.field(
+    pause_threshold_s: float = attrs.field(
         default=0.1, validator=attrs.validators.gt(0)
     )
 
 
 @attrs.define(slots=True)
-class _Life:
-    """Signs of life of one member."""
+class _Liveness:
+    """Evidence of one member's liveness, with times in seconds."""
 
-    heard: float
+    heard_at: float
     refused_since: float = math.inf
     upstream_silence: float = 0.0
     upstream_at: float = -math.inf
 
 
 class Detector:
-    """Suspicion of the members of one database, as seen by one node."""
+    """One node's suspicions of the members of one database."""
 
     def __init__(
         self,
@@ -61,60 +62,62 @@
         self._cfg = cfg
         self._database = database
         now = timers.now()
-        self._lives = {m.name: _Life(now) for m in database.members}
+        self._liveness = {m.name: _Liveness(now) for m in database.members}
 
     def note_alive(self, member: str) -> None:
-        """Takes in a sign of life."""
-        life = self._lives[member]
-        life.heard = self._timers.now()
-        life.refused_since = math.inf
+        """Records that a member answered."""
+        liveness = self._liveness[member]
+        liveness.heard_at = self._timers.now()
+        liveness.refused_since = math.inf
 
     def note_refused(self, member: str) -> None:
-        """Takes in that a member's machine refused a connection."""
-        life = self._lives[member]
-        life.refused_since = min(life.refused_since, self._timers.now())
+        """Records that a member's host refused a connection."""
+        liveness = self._liveness[member]
+        liveness.refused_since = min(liveness.refused_since, self._timers.now())
 
     def note_upstream(self, member: str, silence_s: float) -> None:
-        """Takes in a replica's report of its primary's silence."""
-        life = self._lives[member]
-        life.upstream_silence = silence_s
-        life.upstream_at = self._timers.now()
+        """Records how long a replica has not heard from its primary."""
+        liveness = self._liveness[member]
+        liveness.upstream_silence = silence_s
+        liveness.upstream_at = self._timers.now()
 
     def note_process_pause(self, late_s: float) -> None:
-        """Forgives the members the time for which this process was paused."""
-        if late_s < self._cfg.lateness_s:
+        """Excludes a pause of this process from the members' silence."""
+        if late_s < self._cfg.pause_threshold_s:
             return
         now = self._timers.now()
-        for life in self._lives.values():
-            life.heard = min(now, life.heard + late_s)
-            if life.refused_since < now:
-                life.refused_since = min(now, life.refused_since + late_s)
+        for liveness in self._liveness.values():
+            liveness.heard_at = min(now, liveness.heard_at + late_s)
+            if liveness.refused_since < now:
+                liveness.refused_since = min(
+                    now, liveness.refused_since + late_s
+                )
 
     def silence(self, member: str) -> float:
-        """Returns the seconds since the last sign of life of a member."""
-        return self._timers.now() - self._lives[member].heard
+        """Returns the seconds since a member was last known to be alive."""
+        return self._timers.now() - self._liveness[member].heard_at
 
     def suspects(self, member: str) -> bool:
-        """Whether this node alone would call a member gone."""
-        life = self._lives[member]
+        """Whether this node by itself considers a member failed."""
+        liveness = self._liveness[member]
         now = self._timers.now()
-        if now - life.refused_since >= self._cfg.refused_s:
+        if now - liveness.refused_since >= self._cfg.refused_s:
             return True
-        return now - life.heard >= self._cfg.silence_s
+        return now - liveness.heard_at >= self._cfg.silence_s
 
     def replica_votes(self, primary: str) -> set[str]:
-        """Returns the data centres whose replica finds the primary silent."""
+        """Returns the data centres whose replicas find the primary silent."""
         now = self._timers.now()
         votes = set()
         for member in self._database.members:
-            life = self._lives[member.name]
-            fresh = now - life.upstream_at < self._cfg.silence_s
-            silent = life.upstream_silence >= self._cfg.silence_s
+            liveness = self._liveness[member.name]
+            fresh = now - liveness.upstream_at < self._cfg.silence_s
+            silent = liveness.upstream_silence >= self._cfg.silence_s
             if member.name != primary and fresh and silent:
                 votes.add(member.data_centre)
         return votes
 
-    def agreed(self, votes: "set[str] | frozenset[str]") -> bool:
-        """Whether a majority of the members' data centres voted."""
+    def is_majority(self, votes: "set[str] | frozenset[str]") -> bool:
+        """Whether the votes are a majority of the members' data centres."""
         centres = {m.data_centre for m in self._database.members}
         return len(votes & centres) >= len(centres) // 2 + 1
--- a/packages/decisions/src/ferry_decisions/_directory.py
+++ b/packages/decisions/src/ferry_decisions/_directory.py
@@ -1,8 +1,8 @@
 """A node's copy of the operators' configuration and the databases' records.
 
-The store's entries are merged by how new they are, so the source does not
-matter: a watch, a read, a peer, or a store that answers from the past or came
-back from a copy. An entry never goes back to an earlier state.
+Entries of the store are merged by version, so their source does not matter: a
+watch, a read, a peer, or a store that returns stale data or was restored from a
+backup. An entry never reverts to an earlier state.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class Directory:
-    """The newest entry that is known of each key."""
+    """Holds the newest known entry of each key."""
 
     def __init__(self) -> None:
         self._entries: dict[str, _ports.StoreEntry] = {}
@@ -27,14 +27,14 @@
     def subscribe(
         self, callback: Callable[[_ports.StoreEntry], object]
     ) -> None:
-        """Calls back with each entry that is new or newer."""
+        """Registers a callback for each entry that is added or replaced."""
         self._subscribers.append(callback)
 
     def merge(
         self, entries: Iterable[_ports.StoreEntry]
     ) -> list[_ports.StoreEntry]:
-        """Takes entries in; returns those that were newer than known."""
-        taken = []
+        """Merges entries; returns those that replaced what was known."""
+        accepted = []
         for entry in entries:
             known = self._entries.get(entry.key)
             if known is not None and _is_known(entry, known):
@@ -44,33 +44,33 @@
             if before is not None and not version.replaces(before):
                 continue
             if known is not None:
-                self._digest ^= _mark(known)
-            self._digest ^= _mark(entry)
+                self._digest ^= _entry_digest(known)
+            self._digest ^= _entry_digest(entry)
             self._entries[entry.key] = entry
             self._versions[entry.key] = version
-            taken.append(entry)
-        for entry in taken:
+            accepted.append(entry)
+        for entry in accepted:
             for callback in self._subscribers:
                 callback(entry)
-        return taken
+        return accepted
 
     def get(self, key: str) -> _ports.StoreEntry | None:
-        """Returns the entry of a key, if it is known."""
+        """Returns the entry of a key, or None."""
         return self._entries.get(key)
 
     def entries(self, prefix: str = "") -> list[_ports.StoreEntry]:
-        """Returns the entries below a prefix, by key."""
+        """Returns the entries whose keys begin with `prefix`, sorted."""
         found = [e for k, e in self._entries.items() if k.startswith(prefix)]
         return sorted(found, key=lambda e: e.key)
 
     def versions(self) -> dict[str, _versions.Version]:
-        """Returns how new what is known of each key is."""
+        """Returns the known version of each key."""
         return dict(self._versions)
 
     def newer_than(
         self, versions: dict[str, _versions.Version]
     ) -> list[_ports.StoreEntry]:
-        """Returns the entries of which `versions` shows an older state."""
+        """Returns the entries that are newer than those in `versions`."""
         return [
             self._entries[key]
             for key, own in self._versions.items()
@@ -79,7 +79,7 @@
 
     @property
     def digest(self) -> bytes:
-        """A short value that is equal for equal directories."""
+        """A short digest that is equal for equal directories."""
         return self._digest.to_bytes(DIGEST_BYTES, "big")
 
     def __len__(self) -> int:
@@ -87,18 +87,18 @@
 
 
 def _is_known(entry: _ports.StoreEntry, known: _ports.StoreEntry) -> bool:
-    """Whether an entry says nothing new, without a look at what it says.
+    """Whether an entry adds nothing to the known one; does not decode it.
 
-    All entries of the store are read every few seconds. One that came back
-    unchanged in another era is left as it is: each node would send all of them
-    to others as new.
+    All entries of the store are read every few seconds. An entry that has the
+    same value in another era does not replace the known one; otherwise each
+    node would send all entries to the others as new.
     """
     if entry.revision.era == known.revision.era:
         return entry.revision <= known.revision
     return entry.value == known.value
 
 
-def _mark(entry: _ports.StoreEntry) -> int:
+def _entry_digest(entry: _ports.StoreEntry) -> int:
     revision = entry.revision
     text = f"{entry.key}@{revision.era}.{revision.number}".encode()
     digest = hashlib.blake2b(text, digest_size=DIGEST_BYTES).digest()
@@ -106,5 +106,5 @@
 
 
 def content_digest(data: bytes) -> str:
-    """Returns a text that is equal for equal contents."""
+    """Returns a hexadecimal digest of `data`."""
     return hashlib.blake2b(data, digest_size=16).hexdigest()
--- a/packages/decisions/src/ferry_decisions/_flows.py
+++ b/packages/decisions/src/ferry_decisions/_flows.py
@@ -1,9 +1,9 @@
-"""Steps of work written one after another over futures.
+"""Generator-based coroutines over futures.
 
-A flow is a generator that yields `concurrent.futures.Future` objects. It goes
-on when the future it waits for is done: with the result, or with the failure
-raised at the `yield`. All futures of a flow complete on the thread that owns
-the flow, so no locks are needed.
+A flow is a generator that yields `concurrent.futures.Future` objects. It is
+resumed when the yielded future is done, either with the future's result or
+with its exception raised at the `yield`. All futures of a flow complete on the
+thread that owns the flow, so no locks are needed.
 """
 
 from collections.abc import Callable
@@ -19,25 +19,25 @@
 
 
 class TimeoutExpiredError(Exception):
-    """A future was not done within the time that its caller allows."""
+    """A future was not done before its timeout."""
 
 
 def completed(value: T) -> "Future[T]":
-    """Returns a future that already holds `value`."""
+    """Returns a future that is already done with `value`."""
     fut: Future[T] = Future()
     fut.set_result(value)
     return fut
 
 
 def failed(exc: BaseException) -> "Future[typing.Any]":
-    """Returns a future that already holds the failure `exc`."""
+    """Returns a future that has already failed with `exc`."""
     fut: Future[typing.Any] = Future()
     fut.set_exception(exc)
     return fut
 
 
 def resolve(fut: "Future[T]", value: T) -> bool:
-    """Sets the result unless the future is done; returns whether it was set."""
+    """Sets the result unless the future is done; returns whether it did."""
     if fut.done():
         return False
     fut.set_result(value)
@@ -45,7 +45,7 @@
 
 
 def reject(fut: "Future[typing.Any]", exc: BaseException) -> bool:
-    """Sets the failure unless the future is done; returns whether it was."""
+    """Sets the exception unless the future is done; returns whether it did."""
     if fut.done():
         return False
     fut.set_exception(exc)
@@ -53,7 +53,7 @@
 
 
 def forward(fut: "Future[T]", out: "Future[T]") -> None:
-    """Completes `out` as `fut` completes, unless it is done by then."""
+    """Copies the outcome of `fut` to `out`, unless `out` is already done."""
 
     def finish(done: "Future[T]") -> None:
         exc = done.exception()
@@ -66,33 +66,33 @@
 
 
 def start(flow: "Flow[T]") -> "Future[T]":
-    """Starts a flow; returns the future of its return value."""
+    """Starts a flow; returns a future of its return value."""
     out: Future[T] = Future()
-    _step(flow, out, lambda: next(flow))
+    _run_flow(flow, out, lambda: next(flow))
     return out
 
 
-def _step(
+def _run_flow(
     flow: "Flow[T]",
     out: "Future[T]",
     resume: Callable[[], "Future[typing.Any]"],
 ) -> None:
-    """Runs the flow until it waits for a future that is not done."""
+    """Runs a flow until it yields a future that is not done."""
     while True:
         try:
-            waited = resume()
+            yielded = resume()
         except StopIteration as exc:
             resolve(out, exc.value)
             return
-        except Exception as exc:  # noqa: BLE001 - handed to the future's owner
+        except Exception as exc:  # noqa: BLE001 - passed on by the future
             reject(out, exc)
             return
-        if not waited.done():
-            waited.add_done_callback(
-                lambda fut: _step(flow, out, _resumption(flow, fut))
+        if not yielded.done():
+            yielded.add_done_callback(
+                lambda fut: _run_flow(flow, out, _resumption(flow, fut))
             )
             return
-        resume = _resumption(flow, waited)
+        resume = _resumption(flow, yielded)
 
 
 def _resumption(
@@ -112,7 +112,7 @@
 
 
 def settled(fut: "Future[typing.Any]") -> "Future[None]":
-    """Returns a future that is done when `fut` is, whatever came of it."""
+    """Returns a future that succeeds when `fut` is done, even if it failed."""
     out: Future[None] = Future()
     fut.add_done_callback(lambda _: resolve(out, None))
     return out
@@ -121,7 +121,7 @@
 def first_completed(
     one: "Future[None]", other: "Future[None]"
 ) -> "Future[None]":
-    """Returns a future that is done when one of two is."""
+    """Returns a future with the outcome of whichever completes first."""
     out: Future[None] = Future()
     forward(one, out)
     forward(other, out)
@@ -131,7 +131,7 @@
 def with_timeout(
     timers: _timers.TimerService, seconds: float, fut: "Future[T]"
 ) -> "Future[T]":
-    """Returns a future that fails with a timeout when `fut` takes too long."""
+    """Returns a future with the outcome of `fut`, or with a timeout error."""
     if fut.done():
         return fut
     out: Future[T] = Future()
@@ -145,23 +145,23 @@
 
 
 class SharedRounds(typing.Generic[T]):
-    """Lets requests share rounds of one kind of work.
+    """Coalesces requests into shared runs of one flow.
 
-    A request joins the next round to begin, never one under way, so whatever
-    a round finds out is newer than the request.
+    A request joins the next round to begin, never one that is in progress, so
+    the result of a round is never older than the request.
     """
 
     def __init__(self, work: Callable[[], "Flow[T]"]) -> None:
         self._work = work
-        self._busy = False
+        self._is_running = False
         self._next: Future[T] | None = None
 
     def join(self) -> "Future[T]":
-        """Returns the future of a round that begins from now on."""
+        """Returns the future of a round that has not begun before the call."""
         if self._next is None:
             self._next = Future()
         joined = self._next
-        if not self._busy:
+        if not self._is_running:
             self._begin()
         return joined
 
@@ -169,20 +169,20 @@
         out, self._next = self._next, None
         if out is None:
             return
-        self._busy = True
+        self._is_running = True
         done = start(self._work())
         done.add_done_callback(lambda fut: self._end(fut, out))
 
     def _end(self, fut: "Future[T]", out: "Future[T]") -> None:
-        self._busy = False
+        self._is_running = False
         forward(fut, out)
-        if not self._busy:
+        if not self._is_running:
             self._begin()
 
 
 @typing.final
 class Settled(typing.Generic[T]):
-    """What a future came to: a result, or a failure."""
+    """The outcome of a future: a result or an exception."""
 
     def __init__(self, fut: "Future[T]") -> None:
         self.failure = fut.exception()
@@ -190,10 +190,10 @@
 
     @property
     def result(self) -> T:
-        """The result.
+        """The result of the future.
 
         Raises:
-            BaseException: The failure of the future, if it failed.
+            BaseException: The future's exception, if it failed.
         """
         return self._fut.result()
 
@@ -201,11 +201,11 @@
 def settle_all(
     futs: "list[Future[T]]", enough: Callable[[list[Settled[T]]], bool]
 ) -> "Future[list[Settled[T]]]":
-    """Gathers futures until all are done or those done are `enough`."""
+    """Gathers outcomes until all futures are done or `enough` returns true."""
     out: Future[list[Settled[T]]] = Future()
     settled: list[Settled[T]] = []
 
-    def note(fut: "Future[T]") -> None:
+    def add_outcome(fut: "Future[T]") -> None:
         settled.append(Settled(fut))
         if len(settled) == len(futs) or enough(settled):
             resolve(out, list(settled))
@@ -213,5 +213,5 @@
     if not futs:
         out.set_result([])
     for fut in futs:
-        fut.add_done_callback(note)
+        fut.add_done_callback(add_outcome)
     return out
--- a/packages/decisions/src/ferry_decisions/_hashing.py
+++ b/packages/decisions/src/ferry_decisions/_hashing.py
@@ -1,7 +1,8 @@
 """Rendezvous hashing (Thaler and Ravishankar, 1998).
 
-Each node gets a score for a key, and the best one wins. A node that comes or
-goes moves only its own keys, and all nodes find the same without asking.
+Each node has a score for a key, and the node with the highest score is chosen.
+A node that joins or leaves moves only its own keys, and all nodes compute the
+same assignment without communication.
 """
 
 import functools
@@ -18,8 +19,8 @@
 
 
 def stagger_fraction(key: str, node: str) -> float:
-    """Returns a node's own share of a delay, from 0 to 1, for a key.
+    """Returns a fraction from 0 to 1 that is fixed for a node and a key.
 
-    Nodes that would act at one moment act spread over the delay.
+    Nodes multiply a delay by it so that they do not all act at the same time.
     """
     return rendezvous_score(key, node) / (1 << 8 * DIGEST_BYTES)
--- a/packages/decisions/src/ferry_decisions/_logs.py
+++ b/packages/decisions/src/ferry_decisions/_logs.py
@@ -1,26 +1,26 @@
-"""Lines for developers, by absl's logging, from code that starts nodes.
+"""Developer logs through absl, for modules that are loaded at startup.
 
-The library is loaded with the first line that is written: it would be a fifth
-of what a node has to load before it takes callers.
+absl is imported when the first line is logged: it would account for a fifth of
+the code that a node loads before it accepts callers.
 """
 
 
 def log_debug(message: str, *args: object) -> None:
-    """Writes a debug line; `args` fill its placeholders."""
+    """Logs a message formatted with `args` at debug level."""
     from absl import logging
 
     logging.debug(message, *args)
 
 
 def log_warning(message: str, *args: object) -> None:
-    """Writes a warning; `args` fill its placeholders."""
+    """Logs a message formatted with `args` at warning level."""
     from absl import logging
 
     logging.warning(message, *args)
 
 
 def log_exception(message: str, *args: object) -> None:
-    """Writes an error with the trace of the exception that is handled."""
+    """Logs an error with the traceback of the exception being handled."""
     from absl import logging
 
     logging.exception(message, *args)
--- a/packages/decisions/src/ferry_decisions/_membership.py
+++ b/packages/decisions/src/ferry_decisions/_membership.py
@@ -1,11 +1,12 @@
-"""Which nodes are alive: SWIM with suspicion, aware of data centres.
-
-After Das, Gupta and Motivala, "SWIM", 2002: in each period a node probes one
-other, asks a few more to probe it when the answer is late, and only then
-suspects it; changes travel on the probes themselves. The cost per node does
-not depend on how many there are. Most probes stay in the own data centre.
-Nodes held to be dead are still probed now and then for as long as the
-platform lists them, so that a healed partition heals here too.
+"""Membership: SWIM with suspicion, aware of data centres.
+
+Follows Das, Gupta and Motivala, "SWIM", 2002. In each period a node probes one
+other node. If the answer is late it asks a few helpers to probe that node, and
+suspects it only if they get no answer either. Changes are piggybacked on the
+probes. The cost per node does not depend on the number of nodes. Most probes
+stay within the node's own data centre. Dead nodes are still probed occasionally
+for as long as the platform lists them, so that membership recovers after a
+network partition.
 """
 
 import math
@@ -21,7 +22,7 @@
 
 @attrs.define(slots=True)
 class _Peer:
-    """What is known of one other node."""
+    """The known state of another node."""
 
     node: _placement.Node
     incarnation: int = 0
@@ -30,7 +31,7 @@
 
 
 class Membership:
-    """One node's view of all nodes."""
+    """One node's view of the membership of all nodes."""
 
     def __init__(
         self,
@@ -48,11 +49,11 @@
         self._rng = rng
         self._on_change = on_change
         self._peers: dict[str, _Peer] = {}
-        self._waiting: dict[int, str] = {}
+        self._outstanding: dict[int, str] = {}
         self._relays: dict[int, tuple[_placement.Node, int]] = {}
-        self._news: dict[str, tuple[_probing.Update, int]] = {}
-        self._near: list[str] = []
-        self._far: list[str] = []
+        self._updates: dict[str, tuple[_probing.Update, int]] = {}
+        self._local: list[str] = []
+        self._remote: list[str] = []
         self._number = rng.randrange(1 << 30)
         self._rounds = 0
         self.incarnation = 1
@@ -63,14 +64,14 @@
         self._timer = _timers.PeriodicTimer(
             timers,
             cfg.period_s,
-            self._round,
+            self._probe_next,
             first=rng.uniform(0.0, cfg.period_s),
         )
 
     def alive(self) -> tuple[_placement.Node, ...]:
-        """Returns the nodes in use, by name; this one is among them.
+        """Returns the nodes in use, sorted by name, including this one.
 
-        A suspected node is still in use until its suspicion is confirmed.
+        A suspected node stays in use until its suspicion is confirmed.
         """
         others = [
             p.node
@@ -81,10 +82,10 @@
         return tuple(sorted([*others, *own], key=lambda n: n.name))
 
     def note_listed(self, nodes: list[_placement.Node]) -> None:
-        """Takes in the platform's list.
+        """Applies the platform's list of nodes.
 
-        A listed node that is new counts as alive until probes say otherwise.
-        A node that was listed and no longer is, is forgotten once it is dead.
+        A newly listed node counts as alive until probes show otherwise. A
+        node that is no longer listed is removed once it is dead.
         """
         names = {n.name for n in nodes}
         changed = False
@@ -101,7 +102,7 @@
             self._on_change()
 
     def leave(self) -> None:
-        """Tells the others that this node leaves on purpose."""
+        """Announces that this node is leaving voluntarily."""
         self._left = True
         self._announce(
             _probing.Update(self._node, self.incarnation, _probing.Health.LEFT)
@@ -114,24 +115,24 @@
             self._send_probe(peer.node)
 
     def close(self) -> None:
-        """Stops probing."""
+        """Stops the periodic probes."""
         self._timer.stop()
 
     def note_process_pause(self, late_s: float) -> None:
-        """Forgets outstanding probes after a pause of this process."""
-        if late_s >= self._cfg.lateness_s:
-            self._waiting.clear()
+        """Discards outstanding probes after a pause of this process."""
+        if late_s >= self._cfg.pause_threshold_s:
+            self._outstanding.clear()
 
     def receive(self, message: _probing.ProbeMessage) -> None:
-        """Takes a message in."""
+        """Handles a message from another node."""
         for update in message.updates:
-            self._take(update)
-        self._meet(message.sender)
+            self._apply_update(update)
+        self._add_sender(message.sender)
         match message:
             case _probing.Probe():
-                self._answer(message)
+                self._handle_probe(message)
             case _probing.Ack():
-                self._take_ack(message)
+                self._handle_ack(message)
             case _probing.IndirectProbe():
                 number = self._send_probe(message.target)
                 self._relays[number] = (message.sender, message.number)
@@ -140,12 +141,12 @@
                     lambda: self._relays.pop(number, None),
                 )
 
-    def _meet(self, node: _placement.Node) -> None:
-        """Learns of a node that speaks and was not known."""
+    def _add_sender(self, node: _placement.Node) -> None:
+        """Adds the sender of a message if it was not known."""
         if node.name not in self._peers and node.name != self._node.name:
-            self._take(_probing.Update(node, 1, _probing.Health.ALIVE))
+            self._apply_update(_probing.Update(node, 1, _probing.Health.ALIVE))
 
-    def _answer(self, message: _probing.Probe) -> None:
+    def _handle_probe(self, message: _probing.Probe) -> None:
         peer = self._peers.get(message.sender.name)
         updates = self._gossip()
         if peer is not None and peer.health is not _probing.Health.ALIVE:
@@ -156,7 +157,7 @@
         )
         self._transport.send(message.sender, ack)
 
-    def _take_ack(self, message: _probing.Ack) -> None:
+    def _handle_ack(self, message: _probing.Ack) -> None:
         relay = self._relays.pop(message.number, None)
         if relay is not None:
             asker, number = relay
@@ -164,19 +165,19 @@
                 asker,
                 _probing.Ack(number, message.sender, message.incarnation, ()),
             )
-        waiting = self._waiting.pop(message.number, None)
-        if waiting is None:
+        target_name = self._outstanding.pop(message.number, None)
+        if target_name is None:
             return
-        peer = self._peers.get(waiting)
+        peer = self._peers.get(target_name)
         if peer is None or peer.health is _probing.Health.LEFT:
             return
         if peer.health is _probing.Health.SUSPECT and (
             message.incarnation >= peer.incarnation
         ):
-            self._set(peer, message.incarnation, _probing.Health.ALIVE)
+            self._set_health(peer, message.incarnation, _probing.Health.ALIVE)
 
-    def _round(self) -> None:
-        """Probes one node."""
+    def _probe_next(self) -> None:
+        """Probes one node, first directly and then through helpers."""
         if self._left:
             return
         self._rounds += 1
@@ -184,19 +185,19 @@
         if target is None:
             return
         number = self._send_probe(target.node)
-        self._waiting[number] = target.node.name
+        self._outstanding[number] = target.node.name
         self._timers.after(
             self._cfg.timeout_s, lambda: self._ask_helpers(number)
         )
         self._timers.after(
-            self._cfg.period_s * 0.95, lambda: self._give_up(number)
+            self._cfg.period_s * 0.95, lambda: self._suspect_unanswered(number)
         )
 
     def _ask_helpers(self, number: int) -> None:
-        waiting = self._waiting.get(number)
-        if waiting is None or waiting not in self._peers:
+        target_name = self._outstanding.get(number)
+        if target_name is None or target_name not in self._peers:
             return
-        target = self._peers[waiting].node
+        target = self._peers[target_name].node
         helpers = [
             p.node
             for p in self._peers.values()
@@ -212,32 +213,34 @@
                 ),
             )
 
-    def _give_up(self, number: int) -> None:
-        waiting = self._waiting.pop(number, None)
-        if waiting is None:
+    def _suspect_unanswered(self, number: int) -> None:
+        target_name = self._outstanding.pop(number, None)
+        if target_name is None:
             return
-        peer = self._peers.get(waiting)
+        peer = self._peers.get(target_name)
         if peer is None or peer.health is not _probing.Health.ALIVE:
             return
         self._suspect(peer, self._cfg.suspicion_s)
 
     def note_refused(self, name: str) -> None:
-        """Takes in that a node's machine refused a connection.
+        """Suspects a node whose host refused a connection.
 
-        Its process is gone, so it has less time to refute the suspicion.
+        Its process has ended, so it gets less time to refute the suspicion.
         """
         peer = self._peers.get(name)
         if peer is not None and peer.health is _probing.Health.ALIVE:
             self._suspect(peer, self._cfg.refused_s)
 
     def _suspect(self, peer: _Peer, time_s: float) -> None:
-        """Suspects a node, and tells it so, that it can refute."""
+        """Suspects a node and notifies it, so that it can refute."""
         self.suspicions += 1
-        self._set(peer, peer.incarnation, _probing.Health.SUSPECT, time_s)
+        self._set_health(
+            peer, peer.incarnation, _probing.Health.SUSPECT, time_s
+        )
         self._send_probe(peer.node)
 
     def _next_target(self) -> _Peer | None:
-        if self._rounds % self._cfg.dead_every == 0:
+        if self._rounds % self._cfg.dead_probe_interval == 0:
             dead = [
                 p
                 for p in self._peers.values()
@@ -245,12 +248,12 @@
             ]
             if dead:
                 return self._rng.choice(dead)
-        near = self._rng.random() < self._cfg.near_share
-        return self._take_from(near) or self._take_from(not near)
+        local = self._rng.random() < self._cfg.local_share
+        return self._next_in_order(local) or self._next_in_order(not local)
 
-    def _take_from(self, near: bool) -> _Peer | None:
-        """Goes round all nodes in a shuffled order before repeating one."""
-        queue = self._near if near else self._far
+    def _next_in_order(self, local: bool) -> _Peer | None:
+        """Returns the next node of a shuffled round-robin order, or None."""
+        queue = self._local if local else self._remote
         for _ in range(2):
             while queue:
                 peer = self._peers.get(queue.pop())
@@ -260,7 +263,7 @@
             queue.extend(
                 name
                 for name, p in self._peers.items()
-                if (p.node.data_centre == own) == near
+                if (p.node.data_centre == own) == local
                 and p.health <= _probing.Health.SUSPECT
             )
             self._rng.shuffle(queue)
@@ -272,7 +275,7 @@
         self._transport.send(node, probe)
         return self._number
 
-    def _take(self, update: _probing.Update) -> None:
+    def _apply_update(self, update: _probing.Update) -> None:
         if update.node.name == self._node.name:
             self._refute(update)
             return
@@ -282,11 +285,11 @@
                 return
             peer = _Peer(update.node, listed=False)
             self._peers[update.node.name] = peer
-            self._set(peer, update.incarnation, update.health)
+            self._set_health(peer, update.incarnation, update.health)
             return
-        if _newer(update, peer):
+        if _supersedes(update, peer):
             peer.node = update.node
-            self._set(peer, update.incarnation, update.health)
+            self._set_health(peer, update.incarnation, update.health)
 
     def _refute(self, update: _probing.Update) -> None:
         if self._left or update.health is _probing.Health.ALIVE:
@@ -299,7 +302,7 @@
                 )
             )
 
-    def _set(
+    def _set_health(
         self,
         peer: _Peer,
         incarnation: int,
@@ -313,30 +316,33 @@
         if health is _probing.Health.SUSPECT:
             self._timers.after(
                 suspicion_s or self._cfg.suspicion_s,
-                lambda: self._confirm(peer, incarnation),
+                lambda: self._confirm_dead(peer, incarnation),
             )
         in_use = health <= _probing.Health.SUSPECT
         was_in_use = before <= _probing.Health.SUSPECT
         if was_in_use != in_use or before == health:
             self._on_change()
 
-    def _confirm(self, peer: _Peer, incarnation: int) -> None:
+    def _confirm_dead(self, peer: _Peer, incarnation: int) -> None:
         if (
             peer.health is _probing.Health.SUSPECT
             and peer.incarnation == incarnation
         ):
-            self._set(peer, incarnation, _probing.Health.DEAD)
+            self._set_health(peer, incarnation, _probing.Health.DEAD)
 
     def _announce(self, update: _probing.Update) -> None:
         count = max(2, len(self._peers) + 1)
         copies = 3 * math.ceil(math.log2(count))
-        self._news[update.node.name] = (update, copies)
+        self._updates[update.node.name] = (update, copies)
         if not self._pushing:
             self._pushing = True
             self._timers.after(self._cfg.push_s, self._push)
 
     def _push(self) -> None:
-        """Passes news on at once; it reaches all nodes in a few rounds."""
+        """Sends updates to a few nodes without waiting for the next probe.
+
+        An update reaches all nodes in a few such rounds.
+        """
         self._pushing = False
         alive = [
             p.node
@@ -347,20 +353,22 @@
             self._send_probe(node)
 
     def _gossip(self) -> tuple[_probing.Update, ...]:
-        """Returns the news that was passed on least often."""
-        if not self._news:
+        """Returns the updates that were sent the fewest times so far."""
+        if not self._updates:
             return ()
-        fresh = sorted(self._news.items(), key=lambda i: i[1][1], reverse=True)
+        fresh = sorted(
+            self._updates.items(), key=lambda i: i[1][1], reverse=True
+        )
         chosen = fresh[: self._cfg.max_updates]
         for name, (update, copies) in chosen:
             if copies <= 1:
-                del self._news[name]
+                del self._updates[name]
             else:
-                self._news[name] = (update, copies - 1)
+                self._updates[name] = (update, copies - 1)
         return tuple(update for _, (update, _) in chosen)
 
 
-def _newer(update: _probing.Update, peer: _Peer) -> bool:
+def _supersedes(update: _probing.Update, peer: _Peer) -> bool:
     return (update.incarnation, update.health) > (
         peer.incarnation,
         peer.health,
--- a/packages/decisions/src/ferry_decisions/_probing.py
+++ b/packages/decisions/src/ferry_decisions/_probing.py
@@ -1,4 +1,4 @@
-"""Messages and settings of the probes that membership is made of."""
+"""Messages and settings of the membership protocol's probes."""
 
 import enum
 import typing
@@ -9,7 +9,7 @@
 
 
 class Health(enum.IntEnum):
-    """What is thought of a node; a higher value wins at equal incarnation."""
+    """A node's health; the higher value wins at equal incarnations."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -19,12 +19,12 @@
 
 @attrs.frozen(slots=True)
 class Update:
-    """News of a node, passed on with probes.
+    """A change of a node's health, piggybacked on probes.
 
     Attributes:
-        node: The node.
-        incarnation: Raised by the node itself when it refutes a suspicion.
-        health: What is thought of it.
+        node: The node that the update is about.
+        incarnation: Incremented by the node when it refutes a suspicion.
+        health: The node's health in the sender's view.
     """
 
     node: _placement.Node
@@ -34,12 +34,12 @@
 
 @attrs.frozen(slots=True)
 class Probe:
-    """Asks for a sign of life.
+    """Asks a node to confirm that it is alive.
 
     Attributes:
-        number: The sender's number for the probe.
-        sender: Who asks.
-        updates: News that travels along.
+        number: The sender's sequence number of the probe.
+        sender: The node that sends the probe.
+        updates: Piggybacked membership updates.
     """
 
     number: int
@@ -49,13 +49,13 @@
 
 @attrs.frozen(slots=True)
 class Ack:
-    """A sign of life.
+    """Confirms that a probed node is alive.
 
     Attributes:
-        number: The number of the probe that it answers.
-        sender: Who is alive.
-        incarnation: Its incarnation.
-        updates: News that travels along.
+        number: The sequence number of the probe.
+        sender: The node that was probed.
+        incarnation: The incarnation of that node.
+        updates: Piggybacked membership updates.
     """
 
     number: int
@@ -66,13 +66,13 @@
 
 @attrs.frozen(slots=True)
 class IndirectProbe:
-    """Asks a node to probe another one.
+    """Asks a helper to probe another node.
 
     Attributes:
-        number: The number that the Ack is to carry.
-        sender: Who asks.
-        target: Who is to be probed.
-        updates: News that travels along.
+        number: The sequence number to return in the `Ack`.
+        sender: The node that requests the probe.
+        target: The node to probe.
+        updates: Piggybacked membership updates.
     """
 
     number: int
@@ -85,29 +85,33 @@
 
 
 class ProbeTransport(typing.Protocol):
-    """Sends probe messages; they may be lost."""
+    """An unreliable datagram transport for probe messages."""
 
     def send(self, node: _placement.Node, message: ProbeMessage) -> None:
-        """Sends a message to a node."""
+        """Sends a message to a node; it may be lost."""
 
 
 @attrs.frozen(slots=True)
 class MembershipSettings:
-    """The pace of the probes.
+    """Intervals, timeouts and limits of the membership protocol.
 
     Attributes:
-        period_s: One probe is sent in each period, in seconds.
-        timeout_s: Time for a direct answer, in seconds.
-        helpers: Nodes that are asked for an indirect probe.
-        suspicion_s: Time to refute a suspicion, in seconds; longer than any
-            pause that must not count as a death.
-        refused_s: The same for a node whose machine refuses connections.
-        push_s: How long news is gathered before it is pushed, in seconds.
-        fanout: Nodes to which it is pushed.
-        near_share: Share of the probes that stay in the own data centre.
-        dead_every: Each so-many-th probe goes to a node held to be dead.
-        max_updates: Most pieces of news in one message.
-        lateness_s: A timer that is later than this shows an own pause.
+        period_s: Interval between probes, in seconds.
+        timeout_s: Timeout of a direct probe, in seconds.
+        helpers: Number of nodes asked for an indirect probe.
+        suspicion_s: Time a suspected node has to refute, in seconds; longer
+            than any pause that must not count as a failure.
+        refused_s: The same for a node whose host refuses connections.
+        push_s: How long updates are collected before they are pushed, in
+            seconds.
+        fanout: Number of nodes to which updates are pushed.
+        local_share: Fraction of the probes sent within the node's own data
+            centre.
+        dead_probe_interval: Number of probes between two that go to a dead
+            node.
+        max_updates: Maximum number of updates in one message.
+        pause_threshold_s: A timer delayed by this much or more indicates that
+            this process was paused.
     """
 
     period_s: float = 1.0
@@ -117,7 +121,7 @@
     refused_s: float = 0.6
     push_s: float = 0.05
     fanout: int = 3
-    near_share: float = 0.75
-    dead_every: int = 5
+    local_share: float = 0.75
+    dead_probe_interval: int = 5
     max_updates: int = 8
-    lateness_s: float = 0.2
+    pause_threshold_s: float = 0.2
--- a/packages/decisions/src/ferry_decisions/_watch.py
+++ b/packages/decisions/src/ferry_decisions/_watch.py
@@ -283,16 +283,16 @@
         known = self.record or _databases.Record(self.database.name, 0)
         if known.primary and not self._is_leaving(known.primary):
             votes = self.opinion(known.primary, known.term)
-            if not self._detector.agreed(votes):
+            if not self._detector.is_majority(votes):
                 own = frozenset(votes)
                 asked = self._ctx.ask_opinions(
                     self.database,
                     known.primary,
                     known.term,
-                    lambda others: self._detector.agreed(own | others),
+                    lambda others: self._detector.is_majority(own | others),
                 )
                 votes |= yield asked
-            if not self._detector.agreed(votes):
+            if not self._detector.is_majority(votes):
                 yield _flows.sleep(self._timers, RETRY_S / 2)
                 return
         yield from self._promote(known)
