--- a/packages/decisions/src/ferry_decisions/__init__.py
+++ b/packages/decisions/src/ferry_decisions/__init__.py
@@ -1,7 +1,7 @@
-"""Decisions of rosemaryferry: no sockets, no threads, no clock of its own.
+"""Decision logic of rosemaryferry, without sockets, threads or a clock.
 
-A module is loaded when one of its names is first used: a node on the platform
-needs a third of them, and starts sooner without the rest.
+Each module is loaded on first use of one of its names: a node on the platform
+needs a third of the modules and starts faster without the others.
 """
 
 import typing
--- a/packages/decisions/src/ferry_decisions/_outcomes.py
+++ b/packages/decisions/src/ferry_decisions/_outcomes.py
@@ -1,10 +1,10 @@
-"""What a caller is told of its request.
+"""Outcomes of requests and the reasons for failure reported to callers.
 
-There are three outcomes. RAN: the whole answer follows. NOT_RUN: nothing of it
-was handed to an endpoint, or the endpoint itself said that it did not run.
-UNKNOWN: it was handed over and its fate could not be learned. SQLSTATE class
-RF is free for implementations and used for the failures that only this system
-knows.
+There are three outcomes. RAN: the request ran and the complete answer follows.
+NOT_RUN: no part of the request was sent to an endpoint, or the endpoint
+reported that it did not run. UNKNOWN: the request was sent and its outcome
+could not be determined. SQLSTATE class RF is available to implementations and
+is used for failures that are specific to this system.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class Outcome(enum.Enum):
-    """What became of a request."""
+    """Whether a request ran."""
 
     RAN = "ran"
     NOT_RUN = "not_run"
@@ -22,14 +22,14 @@
 
 @attrs.frozen(slots=True)
 class Reason:
-    """Why a request has no answer.
+    """The reason why a request has no answer.
 
     Attributes:
-        sqlstate: The five characters that a caller's client sees.
-        outcome: What the caller may conclude.
+        sqlstate: The SQLSTATE that is reported to the caller's client.
+        outcome: Whether the request may have run.
         name: A stable identifier, used in logs, metrics and peer messages.
-        retry_after_s: Seconds after which to ask again; 0 where that is of no
-            use.
+        retry_after_s: Suggested delay before a retry, in seconds; 0 if a
+            retry does not help.
     """
 
     sqlstate: str = attrs.field(
@@ -84,13 +84,13 @@
 
 
 class RequestFailedError(Exception):
-    """A request has no answer, for a typed reason.
+    """A request failed for a typed reason.
 
     Attributes:
-        reason: The type of the failure.
-        detail: Words for a reader of logs; never parsed.
-        retry_after_s: Seconds after which to ask again; 0 where that is of no
-            use.
+        reason: The reason for the failure.
+        detail: Explanatory text for people; never parsed.
+        retry_after_s: Suggested delay before a retry, in seconds; 0 if a
+            retry does not help.
     """
 
     def __init__(
@@ -102,5 +102,7 @@
         super().__init__(f"{reason.name}: {detail}" if detail else reason.name)
         self.reason = reason
         self.detail = detail
-        usual_s = reason.retry_after_s
-        self.retry_after_s = usual_s if retry_after_s is None else retry_after_s
+        default_s = reason.retry_after_s
+        self.retry_after_s = (
+            default_s if retry_after_s is None else retry_after_s
+        )
--- a/packages/decisions/src/ferry_decisions/_placement.py
+++ b/packages/decisions/src/ferry_decisions/_placement.py
@@ -1,9 +1,9 @@
-"""Which node serves which member, computed by each node without asking.
+"""Assignment of members to serving nodes, computed locally on each node.
 
-By rendezvous hashing, each live node gets a score for the member and the
-highest wins. Nodes in the member's data centre go
-first, so one node next to a member owns its queue and its connections, and a
-node that comes or goes moves only its own members.
+By rendezvous hashing, each live node has a score for a member, and the node
+with the highest score serves it. Nodes in the member's data centre are
+preferred, so a single nearby node owns the member's queue and connections. A
+node that joins or leaves moves only its own members.
 """
 
 from collections.abc import Iterable
@@ -16,14 +16,14 @@
 
 @attrs.frozen(slots=True)
 class Node:
-    """A node as the others know it.
+    """The identity and the addresses of a node.
 
     Attributes:
-        name: Unique in the fleet, new with each replacement.
-        data_centre: Where it runs.
-        host: Its IP number.
-        peer_port: TCP port of its peer streams.
-        probe_port: UDP port of its probes.
+        name: Its name, unique in the fleet; a replacement gets a new name.
+        data_centre: The data centre in which it runs.
+        host: Its IP address.
+        peer_port: The TCP port of its peer streams.
+        probe_port: The UDP port of its membership probes.
     """
 
     name: str
@@ -34,7 +34,7 @@
 
 
 def ranked(key: str, nodes: Iterable[Node]) -> list[Node]:
-    """Returns nodes by descending score for a key."""
+    """Returns the nodes sorted by descending score for a key."""
     return sorted(
         nodes,
         key=lambda n: _hashing.rendezvous_score(key, n.name),
@@ -47,11 +47,11 @@
     member: _databases.Member,
     nodes: Iterable[Node],
 ) -> Node | None:
-    """Returns the node that serves a member; None where no node is live."""
+    """Returns the node that serves a member, or None if `nodes` is empty."""
     live = list(nodes)
-    near = [n for n in live if n.data_centre == member.data_centre]
+    local = [n for n in live if n.data_centre == member.data_centre]
     key = f"{database.name}/{member.name}"
-    candidates = near or live
+    candidates = local or live
     if not candidates:
         return None
     return max(candidates, key=lambda n: _hashing.rendezvous_score(key, n.name))
@@ -60,6 +60,6 @@
 def store_readers(
     data_centre: str, nodes: Iterable[Node], count: int
 ) -> list[Node]:
-    """Returns the few nodes of a data centre that ask the store."""
-    near = [n for n in nodes if n.data_centre == data_centre]
-    return ranked(f"store-reader/{data_centre}", near)[:count]
+    """Returns the `count` nodes of a data centre that read the store."""
+    local = [n for n in nodes if n.data_centre == data_centre]
+    return ranked(f"store-reader/{data_centre}", local)[:count]
--- a/packages/decisions/src/ferry_decisions/_ports.py
+++ b/packages/decisions/src/ferry_decisions/_ports.py
@@ -1,7 +1,7 @@
-"""The narrow interfaces through which decisions reach the outside.
+"""Interfaces (ports) through which this package performs input and output.
 
-Each has a thin adapter in the node and a small fake in the tests. All calls
-return futures that complete on the thread that owns the decisions.
+Each port has a thin adapter in the node package and a small fake for tests. All
+calls return futures that complete on the thread that owns the caller.
 """
 
 from collections.abc import Callable
@@ -17,14 +17,15 @@
 
 
 class EndpointRefusedError(Exception):
-    """A member answered, and refused: it has promised a later term."""
+    """A member refused a request because it has promised a later term."""
 
 
 class EndpointUnreachableError(Exception):
     """A member could not be reached.
 
     Attributes:
-        refused: Whether its machine answered that nothing listens there.
+        refused: Whether its host refused the connection, so nothing listens
+            on the port.
     """
 
     def __init__(self, detail: str, refused: bool = False) -> None:
@@ -33,17 +34,18 @@
 
 
 class StoreUnavailableError(Exception):
-    """The store gave no answer; the change may have taken effect."""
+    """The store did not answer; a write may have taken effect."""
 
 
 @attrs.frozen(slots=True)
 class PromoteOrder:
-    """The order to lead, or to follow who leads.
+    """An order to lead a term, or to follow the primary that leads it.
 
     Attributes:
         term: The claimed term.
-        primary: The member that is to lead it.
-        starts: Pairs of a term and its first index, `term` included.
+        primary: The member that leads the term.
+        starts: Pairs of a term and the log index at which it starts,
+            including `term`.
     """
 
     term: int
@@ -52,72 +54,72 @@
 
 
 class EndpointDriver(typing.Protocol):
-    """Control of one database's members."""
+    """Controls the members of one database."""
 
     def status(
         self, member: _databases.Member
     ) -> "Future[_databases.MemberStatus]":
-        """Asks a member for its status."""
+        """Requests a member's status."""
 
     def own(
         self, member: _databases.Member, owner: str
     ) -> "Future[_databases.MemberStatus]":
-        """Makes a member take new connections from one owner only.
+        """Restricts new connections to a member to one owner.
 
-        An empty owner releases the member: the connections that exist go on,
+        An empty owner releases the member: its existing connections continue
         as guests of the next owner. Without a release, the connections of the
-        former owner are ended before the answer.
+        previous owner are closed before the answer is sent.
         """
 
     def is_running(
         self, member: _databases.Member, process_id: int
     ) -> "Future[bool]":
-        """Whether the connection with that process id runs a statement.
+        """Whether the connection with that process id is running a statement.
 
-        The answer comes over another connection, so it tells a statement
-        that takes long from a connection that is lost.
+        The question uses a separate connection, so the answer distinguishes a
+        slow statement from a lost connection.
         """
 
     def fence(
         self, member: _databases.Member, term: int, claim_id: str
     ) -> "Future[_databases.MemberStatus]":
-        """Makes a member promise a term to one claim.
+        """Fences a member: it promises a term to one claim.
 
-        Fails with `EndpointRefusedError` if it has promised a later term, or
-        this one to another claim.
+        Fails with `EndpointRefusedError` if the member has promised a later
+        term, or the same term to another claim.
         """
 
     def promote(
         self, member: _databases.Member, order: PromoteOrder
     ) -> "Future[_databases.MemberStatus]":
-        """Makes a fenced member the primary of the order's term."""
+        """Promotes a fenced member to primary of the order's term."""
 
     def follow(
         self, member: _databases.Member, order: PromoteOrder
     ) -> "Future[_databases.MemberStatus]":
-        """Makes a member a replica; its tail beyond the start is cut."""
+        """Makes a member a replica; truncates its log at the term's start."""
 
     def wait_received(
         self, member: _databases.Member, term: int, index: int, timeout_s: float
     ) -> "Future[_databases.MemberStatus]":
-        """Answers once a member has received an index, or at the timeout."""
+        """Waits until a member has received an index or `timeout_s` elapsed."""
 
 
 class ClosableDriver(EndpointDriver, typing.Protocol):
-    """A driver with connections to close."""
+    """A driver whose connections have to be closed."""
 
     def close(self) -> None:
-        """Closes the driver's connections."""
+        """Closes all connections of the driver."""
 
 
 @attrs.frozen(slots=True)
 class StoreEntry:
-    """A value in the store.
+    """A key with its value and revision in the store.
 
     Attributes:
-        key: Its key.
-        value: Its bytes, at most a megabyte.
-        revision: The store's revision that last changed it.
+        key: The key.
+        value: The value, at most one megabyte.
+        revision: The store's revision that last changed the key.
     """
 
     key: str
@@ -126,34 +128,34 @@
 
 
 class StoreWatch(typing.Protocol):
-    """A watch on the store."""
+    """An active watch on a prefix of the store."""
 
     def cancel(self) -> None:
-        """Ends the watch."""
+        """Cancels the watch."""
 
 
 class Store(typing.Protocol):
-    """The platform's key-value service."""
+    """The platform's key-value store."""
 
     @property
     def era(self) -> int:
-        """The era in which it last answered."""
+        """The era of the store's latest answer."""
 
     def get(self, key: str) -> "Future[StoreEntry | None]":
-        """Reads a key."""
+        """Reads a key; the result is None if the key does not exist."""
 
     def list(self, prefix: str) -> "Future[list[StoreEntry]]":
-        """Reads all keys that begin with `prefix`."""
+        """Reads all entries whose keys begin with `prefix`."""
 
     def put_if(
         self, key: str, value: bytes, revision: _revisions.Revision
     ) -> "Future[StoreEntry | None]":
         """Writes a key if its revision is still `revision`.
 
-        A number of 0 stands for no key. Returns the new entry, or None where
-        another writer came first. Fails with `StoreUnavailableError` when the
-        outcome is not known, as it is where the store answers in another era
-        than the revision's.
+        A revision number of 0 means that the key must not exist. The result
+        is the new entry, or None if another writer came first. Fails with
+        `StoreUnavailableError` if the outcome is unknown, which includes an
+        answer from another era than that of `revision`.
         """
 
     def watch(
@@ -162,11 +164,11 @@
         notify: Callable[[StoreEntry], None],
         restored: Callable[[], None],
     ) -> StoreWatch:
-        """Reports each change below a prefix from now on.
+        """Reports each later change of a key that begins with `prefix`.
 
         Args:
-            prefix: What the keys begin with.
-            notify: Called with each change.
-            restored: Called when the store has come back from a copy; what
-                changed meanwhile is not reported.
+            prefix: The common prefix of the watched keys.
+            notify: Called with each changed entry.
+            restored: Called when the store was restored from a backup; the
+                changes caused by the restore are not reported.
         """
--- a/packages/decisions/src/ferry_decisions/_positions.py
+++ b/packages/decisions/src/ferry_decisions/_positions.py
@@ -1,9 +1,9 @@
-"""Log positions, the histories they lie in, and the floors of sessions.
+"""Log positions, and their comparison across terms.
 
-A position is a term and an index. Indices compare only inside one history: a
-promotion to term t starts at an index, and whatever an earlier term held above
-that index is cut. `History` knows the start of each term, and so what is left
-of a position of an earlier term.
+A position consists of a term and an index. Indices are comparable only within
+one history: a promotion to term t starts at an index, and entries of earlier
+terms above that index are truncated. `History` holds the start of each term,
+from which it derives how much of an earlier term's position survives.
 """
 
 import functools
@@ -12,18 +12,18 @@
 
 
 class InvalidPositionError(ValueError):
-    """A text or value that is no log position."""
+    """A text is not a valid log position."""
 
 
 @functools.total_ordering
 @attrs.frozen(slots=True, order=False)
 class Position:
-    """A place in a database's log.
+    """A position in a database's log, ordered by term and index.
 
     Attributes:
-        term: The term of the primary that wrote the entry; 1 or more, 0 for
-            the empty log.
-        index: How many entries the log holds up to and with this one.
+        term: The term of the primary that wrote the entry, from 1; 0 for the
+            empty log.
+        index: The number of log entries up to and including this one.
     """
 
     term: int = attrs.field(validator=attrs.validators.ge(0))
@@ -38,10 +38,10 @@
     @classmethod
     @functools.lru_cache(maxsize=4096)  # noqa: B019 - a class method
     def from_text(cls, text: str) -> "Position":
-        """Reads `term:index`.
+        """Parses a position of the form `term:index`.
 
         Raises:
-            InvalidPositionError: The text has another form.
+            InvalidPositionError: The text does not have this form.
         """
         term, colon, index = text.partition(":")
         try:
@@ -57,34 +57,35 @@
 
 @attrs.frozen(slots=True)
 class History:
-    """The start of each term of one database.
+    """The log index at which each term of a database started.
 
     Attributes:
-        starts: Pairs of a term and the index at which it began, by term.
+        starts: Pairs of a term and the index at which it started, sorted by
+            term.
     """
 
     starts: tuple[tuple[int, int], ...] = ()
 
     def with_term(self, term: int, start: int) -> "History":
-        """Returns the history extended by a term; a known term is kept."""
+        """Returns the history with a term added; a known term is kept."""
         known = dict(self.starts)
         known.setdefault(term, start)
         return History(tuple(sorted(known.items())))
 
     def merged(self, other: "History") -> "History":
-        """Returns the union of two views of the same history."""
+        """Returns the union of two partial histories of the same database."""
         return History(
             tuple(sorted({**dict(other.starts), **dict(self.starts)}.items()))
         )
 
     def surviving_index(self, position: Position, term: int) -> int:
-        """Returns how much of a position is left in the history of `term`."""
-        cuts = [
+        """Returns the index up to which a position survives in `term`."""
+        later_starts = [
             start
             for started, start in self.starts
             if position.term < started <= term
         ]
-        return min([position.index, *cuts])
+        return min([position.index, *later_starts])
 
     def knows(self, term: int) -> bool:
         """Whether the start of `term` is known."""
@@ -92,11 +93,11 @@
 
 
 def satisfies(applied: Position, floor: Position, history: History) -> bool:
-    """Whether a member that applied `applied` shows all below `floor`.
+    """Whether a member that has applied `applied` shows all up to `floor`.
 
-    A member still in an earlier term than the floor does not, whatever its
-    index, since that term's tail may be cut. Nor does one whose term's start
-    is unknown here.
+    A member in an earlier term than the floor does not, whatever its index,
+    because the end of its term may be truncated. A member whose term has an
+    unknown start does not either.
     """
     if floor == ZERO_POSITION:
         return True
--- a/packages/decisions/src/ferry_decisions/_probing.py
+++ b/packages/decisions/src/ferry_decisions/_probing.py
@@ -107,8 +107,7 @@
         fanout: Number of nodes to which updates are pushed.
         local_share: Fraction of the probes sent within the node's own data
             centre.
-        dead_probe_interval: Number of probes between two that go to a dead
-            node.
+        dead_probe_interval: One probe out of this many goes to a dead node.
         max_updates: Maximum number of updates in one message.
         pause_threshold_s: A timer delayed by this much or more indicates that
             this process was paused.
--- a/packages/decisions/src/ferry_decisions/_promotion.py
+++ b/packages/decisions/src/ferry_decisions/_promotion.py
@@ -1,16 +1,17 @@
-"""A change of primary, from the claim to the new record.
+"""Promotion of a new primary, from the claim to the final record.
 
-The steps, each safe to be cut off after:
+The process may be interrupted safely after any of these steps:
 
-1. Claim the next term in the database's record by compare-and-swap. A lost
-   answer is read back by the claim's id, never assumed.
-2. Fence a majority of the members at the term. From here on no commit of an
+1. Claim the next term in the database's record by compare-and-swap. If the
+   reply is lost, the record is read back and the claim's id is compared;
+   success is never assumed.
+2. Fence a majority of the members at the term. From then on no commit of an
    earlier term can be confirmed.
-3. Choose the fenced member with the highest position, and promote it.
+3. Choose the fenced member with the highest position and promote it.
 4. Publish the primary and the start of its term in the record.
-5. Make the others follow.
+5. Make the other members follow.
 
-A claimant that stops in the middle leaves an open claim, which the next one
+A claimant that stops midway leaves an open claim, which the next claimant
 supersedes with a higher term.
 """
 
@@ -29,17 +30,17 @@
 RECORD_PREFIX = "databases/"
 READ_TIMEOUT_S = 0.4
 WRITE_TIMEOUT_S = 1.0
-READ_BACK_TRIES = 5
+READ_BACK_ATTEMPTS = 5
 READ_BACK_PAUSE_S = 0.1
 FENCE_TIMEOUT_S = 0.5
 PROMOTE_TIMEOUT_S = 1.0
 
 
 class ClaimLostError(Exception):
-    """Another node's record is newer.
+    """The store holds a newer record of another node.
 
     Attributes:
-        record: That record.
+        record: The newer record.
     """
 
     def __init__(self, record: _databases.Record) -> None:
@@ -48,7 +49,7 @@
 
 
 class NoMajorityError(ExceptionGroup[Exception]):
-    """Fewer than a majority of the members could be fenced."""
+    """Fewer members than a majority could be fenced."""
 
 
 def record_key(database: str) -> str:
@@ -57,16 +58,16 @@
 
 
 def encode_record(record: _databases.Record) -> bytes:
-    """Returns a record as the store keeps it."""
+    """Returns the stored form of a record."""
     return json.dumps(_structuring.unstructure(record)).encode()
 
 
 def decode_record(value: bytes) -> _databases.Record:
-    """Returns a record from the store's bytes.
+    """Returns the record from its stored form.
 
     Raises:
-        InvalidDocumentError: It is no record.
-        ValueError: It is not JSON.
+        InvalidDocumentError: The value is not a record.
+        ValueError: The value is not JSON.
     """
     return _databases.record_from_json(json.loads(value))
 
@@ -84,16 +85,16 @@
         claim_id: str,
         avoid: frozenset[str] = frozenset(),
     ) -> None:
-        """Prepares the attempt.
+        """Creates an attempt; `run` executes it.
 
         Args:
             timers: The timer service.
-            store: Where the record lives.
-            driver: Control of the members.
+            store: The store that holds the record.
+            driver: Controls the members of the database.
             database: The database.
             claimant: The name of this node.
-            claim_id: Unique among all claims.
-            avoid: Members that must not lead while another one can.
+            claim_id: An identifier that is unique among all claims.
+            avoid: Members that are promoted only if no other member can be.
         """
         self._timers = timers
         self._store = store
@@ -104,7 +105,7 @@
         self._avoid = avoid
 
     def run(self, known: _databases.Record) -> "_flows.Flow[_databases.Record]":
-        """Runs the change; the flow returns the new record.
+        """Runs the promotion; the flow returns the new record.
 
         Args:
             known: The record whose primary is to be replaced.
@@ -112,8 +113,8 @@
         Raises:
             ClaimLostError: The store's record is newer than `known`.
             NoMajorityError: Too few members could be fenced.
-            StoreUnavailableError: The store could not be asked.
-            EndpointUnreachableError: The successor went away.
+            StoreUnavailableError: The store did not answer.
+            EndpointUnreachableError: The new primary became unreachable.
         """
         claim, revision = yield from self._claim(known)
         fenced = yield from self._fence(claim.term)
@@ -128,15 +129,15 @@
             PROMOTE_TIMEOUT_S,
             self._driver.promote(order.primary, order),
         )
-        self._lead_others(order)
+        self._redirect_followers(order)
         record = attrs.evolve(claim, primary=successor.name, starts=starts)
         yield from self._write(record, revision)
         return record
 
-    def _lead_others(self, order: _ports.PromoteOrder) -> None:
-        """Makes the others follow, without waiting for them.
+    def _redirect_followers(self, order: _ports.PromoteOrder) -> None:
+        """Makes the other members follow, without waiting for them.
 
-        A member that misses it is repaired by those who watch it.
+        A member that misses the order is repaired by the nodes that watch it.
         """
         for member in self._database.members:
             if member.name != order.primary.name:
@@ -156,8 +157,9 @@
             if stored.newer_than(known):
                 raise ClaimLostError(stored)
             revision = entry.revision
-        # Counted on from the node's own: a store that came back from a copy
-        # lacks the last terms, and members refuse what they promised before.
+        # The new term follows the term known to this node, not the stored one:
+        # a store restored from a backup lacks the latest terms, and members
+        # refuse terms that they have promised already.
         claim = attrs.evolve(
             known,
             term=known.term + 1,
@@ -171,7 +173,10 @@
     def _write(
         self, record: _databases.Record, revision: _revisions.Revision
     ) -> "_flows.Flow[_revisions.Revision]":
-        """Writes the record; returns its revision, reading back if needed."""
+        """Writes the record; returns its revision.
+
+        Reads the record back if the store does not confirm the write.
+        """
         key = record_key(record.database)
         try:
             entry = yield _flows.with_timeout(
@@ -188,10 +193,10 @@
     def _read_back(
         self, record: _databases.Record, revision: _revisions.Revision
     ) -> "_flows.Flow[_revisions.Revision]":
-        """Learns whether a write whose answer was lost took effect."""
+        """Determines whether a write whose reply was lost took effect."""
         key = record_key(record.database)
         failure: Exception = _ports.StoreUnavailableError(key)
-        for _ in range(READ_BACK_TRIES):
+        for _ in range(READ_BACK_ATTEMPTS):
             try:
                 entry = yield _flows.with_timeout(
                     self._timers, READ_TIMEOUT_S, self._store.get(key)
@@ -240,10 +245,10 @@
     def _choose(
         self, fenced: list[_databases.MemberStatus]
     ) -> _databases.MemberStatus:
-        """Returns a member that holds all that was acknowledged.
+        """Returns a member that holds every acknowledged write.
 
-        That holds for the highest position among any majority, so members to
-        avoid are left out only where the others are a majority themselves.
+        The highest position among any majority guarantees this, so members to
+        avoid are excluded only if the remaining ones are still a majority.
         """
         usable = self._usable(fenced)
         if len(usable) < self._database.majority:
--- a/packages/decisions/src/ferry_decisions/_registry.py
+++ b/packages/decisions/src/ferry_decisions/_registry.py
@@ -1,4 +1,4 @@
-"""Registries of interchangeable behaviour, filled by decorators."""
+"""Registries of interchangeable policies, populated by decorators."""
 
 from collections.abc import Callable
 import typing
@@ -11,14 +11,14 @@
 
 
 class Registry(typing.Generic[T]):
-    """Maps the names that settings use to factories of one kind of policy."""
+    """Maps names used in settings to factories of one kind of policy."""
 
     def __init__(self, kind: str) -> None:
         self._kind = kind
         self._factories: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Returns a decorator that adds a factory under `name`."""
+        """Returns a decorator that registers a factory under `name`."""
 
         def add(factory: T) -> T:
             self._factories[name] = factory
@@ -27,10 +27,10 @@
         return add
 
     def get(self, name: str) -> T:
-        """Returns the factory of that name.
+        """Returns the factory registered under `name`.
 
         Raises:
-            UnknownPolicyError: There is none.
+            UnknownPolicyError: No factory has this name.
         """
         if name not in self._factories:
             known = ", ".join(sorted(self._factories))
--- a/packages/decisions/src/ferry_decisions/_replicas.py
+++ b/packages/decisions/src/ferry_decisions/_replicas.py
@@ -1,8 +1,8 @@
-"""What a node knows of a database's members, and how old a replica's data is.
+"""Tracks the positions of a database's members and the age of their data.
 
-The age of a replica is counted from the last moment at which the primary's
-position was known and the replica had applied it. A replica whose primary is
-gone therefore grows older, whatever it says of its own lag.
+The age of a replica is measured from the latest time for which the primary's
+position is known and the replica has applied it. The age of a replica whose
+primary is unreachable therefore grows, whatever lag the replica itself reports.
 """
 
 import collections
@@ -15,12 +15,13 @@
 from ferry_decisions import _positions
 from ferry_decisions import _timers
 
+# Maximum number of retained samples of the primary's position.
 MAX_SAMPLES = 512
 
 
 @attrs.frozen(slots=True)
 class _Sample:
-    """The primary's position, known no later than a moment."""
+    """An upper bound of the primary's position at the time `at`."""
 
     at: float
     position: _positions.Position
@@ -35,7 +36,7 @@
 
 
 class ReplicaTracker:
-    """Positions and ages of the members of one database."""
+    """Tracks the applied positions of the members of one database."""
 
     def __init__(
         self, timers: _timers.TimerService, database: _databases.Database
@@ -49,21 +50,22 @@
         )
 
     def note_history(self, history: _positions.History) -> None:
-        """Takes in the starts of terms of a record."""
+        """Merges the starts of terms from a record."""
         self.history = self.history.merged(history)
 
     def note_applied(self, member: str, applied: _positions.Position) -> None:
-        """Takes in what a member has applied."""
+        """Records the position that a member has applied."""
         known = self._applied.get(member, _positions.ZERO_POSITION)
         if applied >= known:
             self._applied[member] = applied
 
     def note_primary(self, position: _positions.Position, at: float) -> None:
-        """Takes in the primary's position.
+        """Records the primary's position.
 
         Args:
-            position: What the primary answered.
-            at: When it was asked, in seconds; its answer is no older.
+            position: The position that the primary reported.
+            at: Time at which the request was sent, in seconds; the reported
+                position is no older.
         """
         newest = self._samples[-1] if self._samples else None
         if newest is not None and position < newest.position:
@@ -74,11 +76,14 @@
         self._samples.append(_Sample(at, position))
 
     def applied(self, member: str) -> _positions.Position:
-        """Returns the last position that a member is known to have applied."""
+        """Returns the latest position a member is known to have applied."""
         return self._applied.get(member, _positions.ZERO_POSITION)
 
     def age(self, member: str) -> float:
-        """Returns the age of a member's data in seconds, or infinity."""
+        """Returns the age of a member's data in seconds.
+
+        The age is infinite if it is unknown.
+        """
         applied = self.applied(member)
         for sample in reversed(self._samples):
             if _positions.satisfies(applied, sample.position, self.history):
--- a/packages/decisions/src/ferry_decisions/_retries.py
+++ b/packages/decisions/src/ferry_decisions/_retries.py
@@ -1,7 +1,7 @@
-"""Budgets and pauses of retries.
+"""Retry budgets and exponential backoff.
 
-A budget is earned by first tries and spent by retries, so that an outage does
-not multiply the load. Pauses grow and are jittered over their whole length.
+First attempts add to a budget and retries spend it, so that an outage does not
+multiply the load. Backoff delays grow exponentially with full jitter.
 """
 
 import random
@@ -11,11 +11,11 @@
 
 @attrs.define(slots=True)
 class RetryBudget:
-    """Lets retries be a share of the first tries, with a small burst.
+    """Limits retries to a fraction of the first attempts, plus a small burst.
 
     Attributes:
-        share: Retries earned by one first try.
-        burst: Most retries that can be saved up.
+        share: Number of retries earned by one first attempt.
+        burst: Maximum number of unused retries that accumulate.
     """
 
     share: float = attrs.field(validator=attrs.validators.gt(0.0))
@@ -23,15 +23,15 @@
     _tokens: float = attrs.field(init=False)
 
     @_tokens.default
-    def _full(self) -> float:
+    def _initial_tokens(self) -> float:
         return self.burst
 
     def note_first_attempt(self) -> None:
-        """Earns the share of one first try."""
+        """Adds the share that is earned by one first attempt."""
         self._tokens = min(self.burst, self._tokens + self.share)
 
     def take(self) -> bool:
-        """Spends one retry; returns whether there was one."""
+        """Spends one retry; returns whether the budget allowed it."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -41,13 +41,13 @@
 def backoff(
     tried: int, first_s: float, last_s: float, rng: random.Random
 ) -> float:
-    """Returns the pause before a try, in seconds.
+    """Returns the delay before the next attempt, in seconds.
 
     Args:
-        tried: How often it was tried before; 1 or more.
-        first_s: The longest pause after the first try.
-        last_s: The longest pause of all.
+        tried: Number of previous attempts, at least 1.
+        first_s: Maximum delay after the first attempt, in seconds.
+        last_s: Maximum delay after any attempt, in seconds.
         rng: The source of the jitter.
     """
-    longest = min(last_s, first_s * 2.0 ** min(tried - 1, 16))
-    return rng.uniform(0.0, longest)
+    max_delay_s = min(last_s, first_s * 2.0 ** min(tried - 1, 16))
+    return rng.uniform(0.0, max_delay_s)
--- a/packages/decisions/src/ferry_decisions/_revisions.py
+++ b/packages/decisions/src/ferry_decisions/_revisions.py
@@ -1,20 +1,20 @@
-"""Moments in the life of a store that may come back from an older copy."""
+"""Revisions of a store that may be restored from an older backup."""
 
 import attrs
 
 
 @attrs.frozen(slots=True, order=True)
 class Revision:
-    """A moment in a store's life, by which knowledge of it is ordered.
+    """A revision of the store, ordered by era and then by number.
 
-    A store that comes back from a copy counts on from the copy's last number:
-    numbers go back and are given out again, so that a higher one may be the
-    older truth. What it says in a later era is newer, whatever the numbers.
+    A store that is restored from a backup continues from the backup's last
+    number. Numbers are then issued again, so a higher number may denote older
+    data. Data of a later era is newer, whatever the numbers.
 
     Attributes:
-        era: How often the store came back from a copy; 0 where it does not
-            say so.
-        number: The count of its changes; 0 for a time before the first one.
+        era: How many times the store was restored from a backup; 0 if the
+            store does not report it.
+        number: The number of changes in the store; 0 before the first one.
     """
 
     era: int = 0
@@ -22,7 +22,7 @@
 
     @property
     def beginning(self) -> "Revision":
-        """The time before the first change of this era."""
+        """The revision before the first change of this era."""
         return Revision(self.era)
 
 
--- a/packages/decisions/src/ferry_decisions/_routing.py
+++ b/packages/decisions/src/ferry_decisions/_routing.py
@@ -1,7 +1,7 @@
-"""Which member a read is sent to.
+"""Policies that choose the member to which a read is sent.
 
-`replica_first` is the product's policy. `primary_only` and `pin_after_write`
-are the baselines of its measurements and may be chosen in the settings.
+`replica_first` is the default. `primary_only` and `pin_after_write` are
+baselines for benchmarks and can also be selected in the settings.
 """
 
 from collections.abc import Callable
@@ -12,20 +12,21 @@
 from ferry_decisions import _databases
 from ferry_decisions import _registry
 
+# How long `pin_after_write` sends a session's reads to the primary.
 PIN_S = 2.0
 
 
 @attrs.frozen(slots=True)
 class ReadRequest:
-    """What a policy may know of a read.
+    """The input of a read policy.
 
     Attributes:
-        data_centre: The data centre of the node that asks.
+        data_centre: The data centre of the requesting node.
         primary: The name of the primary.
         floor_known: Whether the session's floor is known.
-        staleness_s: Greatest age that the read accepts, in seconds.
-        since_write_s: Seconds since the session last wrote.
-        behind: Members known to be behind or out of reach.
+        staleness_s: Maximum age of data that the read accepts, in seconds.
+        since_write_s: Seconds since the session's last write.
+        behind: Members known to lag or to be unreachable.
     """
 
     data_centre: str
@@ -37,12 +38,12 @@
 
 
 class ReadPolicy(typing.Protocol):
-    """Orders the members to try for a read."""
+    """Orders the members to try for a read, first to last."""
 
     def order(
         self, database: _databases.Database, req: ReadRequest
     ) -> list[str]:
-        """Returns names of members, the first to try first."""
+        """Returns member names in the order in which to try them."""
 
 
 READ_POLICIES: _registry.Registry[Callable[[], ReadPolicy]] = (
@@ -52,16 +53,16 @@
 
 @READ_POLICIES.register("replica_first")
 class ReplicaFirst:
-    """A fit replica, the nearest first, and the primary as the fallback.
+    """Tries the nearest replica, then falls back to the primary.
 
-    A session whose floor is not known asks the primary once; the position of
-    that answer is its floor from then on.
+    A session whose floor is unknown reads from the primary once; the position
+    of that answer becomes its floor.
     """
 
     def order(
         self, database: _databases.Database, req: ReadRequest
     ) -> list[str]:
-        """Returns one replica and the primary, or the primary alone."""
+        """Returns one replica and the primary, or only the primary."""
         if not req.floor_known or req.staleness_s <= 0:
             return [req.primary]
         replicas = [
@@ -75,23 +76,23 @@
 
 @READ_POLICIES.register("primary_only")
 class PrimaryOnly:
-    """Every read to the primary."""
+    """Sends every read to the primary."""
 
     def order(
         self, database: _databases.Database, req: ReadRequest
     ) -> list[str]:
-        """Returns the primary."""
+        """Returns only the primary."""
         return [req.primary]
 
 
 @READ_POLICIES.register("pin_after_write")
 class PinAfterWrite(ReplicaFirst):
-    """The primary for some seconds after a write, else a replica."""
+    """Sends reads to the primary for `PIN_S` seconds after a write."""
 
     def order(
         self, database: _databases.Database, req: ReadRequest
     ) -> list[str]:
-        """Returns the primary while the pin holds."""
+        """Returns the primary while the pin lasts, else a replica first."""
         if req.since_write_s < PIN_S:
             return [req.primary]
         return super().order(database, req)
--- a/packages/decisions/src/ferry_decisions/_session_floors.py
+++ b/packages/decisions/src/ferry_decisions/_session_floors.py
@@ -1,20 +1,21 @@
-"""Floors of sessions that carry no token, kept where their writes pass.
+"""Read floors of sessions without a token, kept by the primary's owner.
 
-All writes to a primary pass through the node that owns it, so that node knows
-the last position of each session's writes for as long as it owns the member.
-What it does not know, because the write came before or was forgotten, lies
-below one base position.
+All writes to a primary pass through the node that owns it. While it owns the
+member, that node therefore knows the position of each session's latest write.
+Writes that it does not know, because they preceded its ownership or were
+evicted, are covered by a single base position.
 """
 
 import collections
 
 from ferry_decisions import _positions
 
+# Maximum number of sessions whose floors are kept individually.
 MAX_SESSIONS = 20_000
 
 
 class SessionFloors:
-    """The last acknowledged write of each session, or a bound for it."""
+    """The latest write position of each session, or an upper bound of it."""
 
     def __init__(self, max_sessions: int = MAX_SESSIONS) -> None:
         self._max = max_sessions
@@ -24,20 +25,20 @@
         )
 
     def restart(self, base: _positions.Position) -> None:
-        """Begins anew, with a position that covers all earlier writes."""
+        """Clears all floors; `base` has to cover all earlier writes."""
         self._base = base
         self._floors.clear()
 
     def note(self, session: str, position: _positions.Position) -> None:
-        """Takes in a write, before its caller is told of it."""
+        """Records a write; must be called before the write is acknowledged."""
         known = self._floors.pop(session, _positions.ZERO_POSITION)
         self._floors[session] = max(known, position)
         if len(self._floors) > self._max:
-            _, forgotten = self._floors.popitem(last=False)
-            self._base = max(self._base, forgotten)
+            _, evicted = self._floors.popitem(last=False)
+            self._base = max(self._base, evicted)
 
     def floor(self, session: str) -> _positions.Position:
-        """Returns a position that covers all writes of a session."""
+        """Returns a position that covers all writes of the session."""
         return max(
             self._base, self._floors.get(session, _positions.ZERO_POSITION)
         )
--- a/packages/decisions/src/ferry_decisions/_sessions.py
+++ b/packages/decisions/src/ferry_decisions/_sessions.py
@@ -1,8 +1,8 @@
-"""The state of one caller's session, and the token that carries its floors.
+"""The state of a caller's session, and the token that carries its floors.
 
-The token is reported to the caller after each change and may be sent back
-through any other node. It only ever raises a floor, so a forged one harms
-nobody but its bearer's own share of replica reads.
+The token is reported to the caller after each change and may be presented to
+any node. It can only raise a floor, so a forged token affects only its
+bearer's own use of replicas for reads.
 """
 
 import re
@@ -23,18 +23,18 @@
 
 @attrs.frozen(slots=True)
 class SessionState:
-    """What a session asked for, and what it has seen.
+    """The settings of a session and the positions that it has observed.
 
     Attributes:
-        floors: Pairs of a database and the position that reads must show. A
-            database that is absent has no known floor, and its first read
-            goes to the primary.
-        staleness_s: Greatest age that its reads accept, in seconds.
-        timeout_s: Time that one statement may take, in seconds.
-        idempotency_key: Set for the next write; empty when unset.
-        session_id: What the session is known by when it comes back without
-            a token; empty for its login.
-        carries_token: Whether the caller sent a token, and so keeps its
+        floors: Pairs of a database and the minimum position that reads must
+            show. A database that is absent has no known floor, and its first
+            read goes to the primary.
+        staleness_s: Maximum age of data that its reads accept, in seconds.
+        timeout_s: Maximum duration of one statement, in seconds.
+        idempotency_key: The key for the next write; empty if not set.
+        session_id: Identifies the session when it reconnects without a token;
+            if empty, the login does.
+        carries_token: Whether the caller sent a token and therefore keeps its
             floors itself.
     """
 
@@ -46,7 +46,7 @@
     carries_token: bool = False
 
     def floor(self, database: str) -> _positions.Position | None:
-        """Returns the floor in a database; None where it is not known."""
+        """Returns the floor of a database, or None if it is unknown."""
         for name, position in self.floors:
             if name == database:
                 return position
@@ -55,7 +55,7 @@
     def with_floor(
         self, database: str, seen: _positions.Position
     ) -> "SessionState":
-        """Returns the state after an answer that showed `seen`."""
+        """Returns the state with a database's floor raised to `seen`."""
         known = self.floor(database)
         if known is not None and known >= seen:
             return self
@@ -63,23 +63,23 @@
         return attrs.evolve(self, floors=(*rest, (database, seen)))
 
     def without_floor(self, database: str) -> "SessionState":
-        """Returns the state with no known floor in a database."""
+        """Returns the state without a floor for a database."""
         rest = tuple(pair for pair in self.floors if pair[0] != database)
         return attrs.evolve(self, floors=rest)
 
     @property
     def token(self) -> str:
-        """The floors as a text that `with_token` takes."""
+        """The floors, in the form that `with_token` parses."""
         return ",".join(f"{name}={position}" for name, position in self.floors)
 
     def with_token(self, text: str) -> "SessionState":
         """Returns the state with its floors raised to those of a token.
 
         Raises:
-            RequestFailedError: The text is no token.
+            RequestFailedError: The text is not a valid token.
         """
         if not _TOKEN.fullmatch(text):
-            raise _invalid("session", "database=term:index[,...]")
+            raise _invalid_setting("session", "database=term:index[,...]")
         state = attrs.evolve(self, carries_token=True)
         for pair in text.split(","):
             name, _, position = pair.partition("=")
@@ -92,24 +92,28 @@
         """Returns the state after SET rosemaryferry.NAME = VALUE.
 
         Raises:
-            RequestFailedError: The setting is unknown or the value malformed.
+            RequestFailedError: The setting is unknown or the value is invalid.
         """
         if name == "session":
             return self.with_token(value)
         if name == "read":
             return attrs.evolve(self, staleness_s=parse_staleness(value))
         if name == "timeout_ms":
-            return attrs.evolve(self, timeout_s=_milliseconds(value) / 1000)
+            return attrs.evolve(
+                self, timeout_s=_parse_milliseconds(value) / 1000
+            )
         if name == "idempotency_key":
             if len(value) > MAX_KEY_CHARS:
-                raise _invalid(name, f"at most {MAX_KEY_CHARS} characters")
+                raise _invalid_setting(
+                    name, f"at most {MAX_KEY_CHARS} characters"
+                )
             return attrs.evolve(self, idempotency_key=value)
-        raise _invalid(
+        raise _invalid_setting(
             name, "one of session, read, timeout_ms, idempotency_key"
         )
 
     def setting(self, name: str) -> str:
-        """Returns the value that SHOW rosemaryferry.NAME gives.
+        """Returns the value reported by SHOW rosemaryferry.NAME.
 
         Raises:
             RequestFailedError: The setting is unknown.
@@ -124,31 +128,33 @@
             "session_id": self.session_id,
         }
         if name not in values:
-            raise _invalid(name, "one of " + ", ".join(values))
+            raise _invalid_setting(name, "one of " + ", ".join(values))
         return values[name]
 
 
 def parse_staleness(text: str) -> float:
-    """Returns the seconds of `age 5s`, `age 200ms`, or 0 for `primary`.
+    """Returns the seconds of `age 5s` or `age 200ms`, or 0 for `primary`.
 
     Raises:
-        RequestFailedError: The text has another form.
+        RequestFailedError: The text has neither form.
     """
     if text.strip().lower() == "primary":
         return 0.0
     found = _AGE.fullmatch(text.strip().lower())
     if not found:
-        raise _invalid("read", "'primary' or 'age NUMBER[ms|s|min]'")
+        raise _invalid_setting("read", "'primary' or 'age NUMBER[ms|s|min]'")
     return float(found["number"]) * _UNIT_S[found["unit"]]
 
 
-def _milliseconds(text: str) -> int:
+def _parse_milliseconds(text: str) -> int:
     if text.isdecimal() and 0 < int(text) <= MAX_TIMEOUT_MS:
         return int(text)
-    raise _invalid("timeout_ms", f"a whole number from 1 to {MAX_TIMEOUT_MS}")
+    raise _invalid_setting(
+        "timeout_ms", f"a whole number from 1 to {MAX_TIMEOUT_MS}"
+    )
 
 
-def _invalid(name: str, expected: str) -> _outcomes.RequestFailedError:
+def _invalid_setting(name: str, expected: str) -> _outcomes.RequestFailedError:
     return _outcomes.RequestFailedError(
         _outcomes.INVALID_SETTING, f"rosemaryferry.{name}: expected {expected}"
     )
--- a/packages/decisions/src/ferry_decisions/_statements.py
+++ b/packages/decisions/src/ferry_decisions/_statements.py
@@ -1,9 +1,9 @@
-"""What kind of statement a caller sent.
+"""Classification of SQL statements without a parser.
 
-This is no parser. The caller's own word comes first: a read-only transaction,
-or a session setting. Without it, only the leading keyword counts, and what is
-not known to be a read is treated as a write. Treating SELECT as a possible
-read is safe because a replica refuses a write (SQLSTATE 25006) before it runs.
+An explicit declaration by the caller comes first: a read-only transaction or a
+session setting. Otherwise only the leading keyword counts, and a statement that
+is not known to be a read is treated as a write. Treating SELECT as a read is
+safe because a replica refuses a write (SQLSTATE 25006) before it runs.
 """
 
 import enum
@@ -38,7 +38,7 @@
 
 
 class StatementKind(enum.Enum):
-    """How a statement is treated."""
+    """How a statement is handled."""
 
     READ = "read"
     WRITE = "write"
@@ -52,12 +52,12 @@
 
 @attrs.frozen(slots=True)
 class Statement:
-    """A statement and what is known of it.
+    """The classification of a statement.
 
     Attributes:
-        kind: How it is treated.
-        name: For SET and SHOW, the setting, without its prefix.
-        value: For SET, the value.
+        kind: How the statement is handled.
+        name: For SET and SHOW, the name of the setting without its prefix.
+        value: For SET, the unquoted value.
     """
 
     kind: StatementKind
@@ -70,7 +70,7 @@
 
 
 def classify(sql: str) -> Statement:
-    """Returns what is known of a statement from its text alone."""
+    """Classifies a statement by its text alone."""
     if _READ.match(sql):
         return _classify_read(sql)
     found = _BEGIN.match(sql)
@@ -84,7 +84,7 @@
     found = _SET.match(sql)
     if found:
         name = found["name"].lower().removeprefix(SETTING_PREFIX)
-        return Statement(StatementKind.SET, name, _unquoted(found["value"]))
+        return Statement(StatementKind.SET, name, _unquote(found["value"]))
     if _SESSION_STATE.match(sql):
         return Statement(StatementKind.SESSION_STATE)
     return _PLAIN_WRITE
@@ -95,13 +95,13 @@
     if found:
         name = found["name"].lower().removeprefix(SETTING_PREFIX)
         return Statement(StatementKind.SHOW, name)
-    several = ";" in sql.rstrip().rstrip(";")
-    if several or _LOCKING.search(sql):
+    has_several_statements = ";" in sql.rstrip().rstrip(";")
+    if has_several_statements or _LOCKING.search(sql):
         return _PLAIN_WRITE
     return _PLAIN_READ
 
 
-def _unquoted(text: str) -> str:
+def _unquote(text: str) -> str:
     if text.startswith("'"):
         return text[1:-1].replace("''", "'")
     return text
--- a/packages/decisions/src/ferry_decisions/_structuring.py
+++ b/packages/decisions/src/ferry_decisions/_structuring.py
@@ -1,8 +1,8 @@
-"""Structured data checked as a whole.
+"""Conversion of decoded JSON to `attrs` classes, with full validation.
 
-`structure` turns plain JSON values into `attrs` classes with `cattrs`. All the
-mistakes are reported together, as an exception group with one error a
-mistake, each with its path. Unknown keys are mistakes too.
+`structure` uses `cattrs` and reports all validation errors of a document
+together, as an exception group with one error, and its path, for each mistake.
+Unknown keys are errors too.
 """
 
 import typing
@@ -15,11 +15,11 @@
 
 
 class InvalidFieldError(ValueError):
-    """One mistake in a document.
+    """One validation error in a document.
 
     Attributes:
-        path: Where it stands, such as `contract.connections`.
-        expected: What was expected there.
+        path: The path of the field, such as `contract.connections`.
+        expected: What the field should contain.
     """
 
     def __init__(self, path: str, expected: str) -> None:
@@ -29,10 +29,10 @@
 
 
 class InvalidDocumentError(ExceptionGroup[InvalidFieldError]):
-    """All the mistakes of one document."""
+    """All validation errors of one document."""
 
 
-def _strict_hook(cls: type) -> typing.Any:
+def _make_strict_hook(cls: type) -> typing.Any:
     return gen.make_dict_structure_fn(
         cls,
         _CONVERTER,
@@ -41,13 +41,15 @@
     )
 
 
-def _number(value: typing.Any, _: type) -> float:
+def _structure_number(value: typing.Any, _: type) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise TypeError("a number")
     return float(value)
 
 
-def _exact(cls: type) -> typing.Callable[[typing.Any, type], typing.Any]:
+def _exact_type_hook(
+    cls: type,
+) -> typing.Callable[[typing.Any, type], typing.Any]:
     def check(value: typing.Any, _: type) -> typing.Any:
         if type(value) is not cls:
             raise TypeError(f"{cls.__name__}")
@@ -57,40 +59,40 @@
 
 
 _CONVERTER = cattrs.Converter(detailed_validation=True)
-_CONVERTER.register_structure_hook(float, _number)
+_CONVERTER.register_structure_hook(float, _structure_number)
 for _scalar in (int, str, bool):
-    _CONVERTER.register_structure_hook(_scalar, _exact(_scalar))
+    _CONVERTER.register_structure_hook(_scalar, _exact_type_hook(_scalar))
 _CONVERTER.register_structure_hook_factory(
-    lambda cls: hasattr(cls, "__attrs_attrs__"), _strict_hook
+    lambda cls: hasattr(cls, "__attrs_attrs__"), _make_strict_hook
 )
 
 
 def structure(raw: typing.Any, cls: type[T], root: str) -> T:
-    """Returns `raw` as an instance of `cls`.
+    """Converts decoded JSON to an instance of `cls`.
 
     Args:
-        raw: What a JSON library returned.
-        cls: The `attrs` class to make.
-        root: The name of the document, the first part of each path.
+        raw: The decoded JSON.
+        cls: The `attrs` class to instantiate.
+        root: The name of the document, the first component of each path.
 
     Raises:
-        InvalidDocumentError: Something is missing, unknown or out of range.
+        InvalidDocumentError: A field is missing, unknown or out of range.
     """
     try:
         return _CONVERTER.structure(raw, cls)
-    except Exception as exc:  # noqa: BLE001 - all of them become one group
+    except Exception as exc:  # noqa: BLE001 - converted to one group
         found = [
-            InvalidFieldError(*_split(text))
+            InvalidFieldError(*_split_message(text))
             for text in cattrs_v.transform_error(exc, path=root)
         ]
         raise InvalidDocumentError(f"{root} is not valid", found) from exc
 
 
 def unstructure(value: typing.Any) -> typing.Any:
-    """Returns the plain JSON values of an `attrs` instance."""
+    """Converts an `attrs` instance to values that JSON can encode."""
     return _CONVERTER.unstructure(value)
 
 
-def _split(text: str) -> tuple[str, str]:
+def _split_message(text: str) -> tuple[str, str]:
     expected, _, path = text.rpartition(" @ ")
     return path or "document", expected or text
--- a/packages/decisions/src/ferry_decisions/_timers.py
+++ b/packages/decisions/src/ferry_decisions/_timers.py
@@ -1,8 +1,8 @@
-"""Timers that the parts of the system subscribe to.
+"""The timer interface, and its implementation in virtual time.
 
-Every part takes its time from a `TimerService`; nothing in this package reads
-a clock. `VirtualTimers` is the service of tests and experiments: its time
-moves only when the caller advances it, so a run repeats exactly.
+All components take the time from a `TimerService`; nothing in this package
+reads a clock. `VirtualTimers` serves tests and experiments: its time advances
+only when the caller moves it, so a run is exactly reproducible.
 """
 
 from collections.abc import Callable
@@ -15,23 +15,24 @@
 
 @attrs.define(eq=False, slots=True)
 class Timer:
-    """A subscription to one moment in time.
+    """A scheduled callback.
 
     Attributes:
-        due: When the callback runs, in seconds of the service's own clock.
-        callback: What runs; None once cancelled or run.
+        due: Time at which the callback runs, in seconds of the service's
+            clock.
+        callback: The function to call; None once it ran or was cancelled.
     """
 
     due: float
     callback: Callable[[], object] | None
 
     def cancel(self) -> None:
-        """Drops the subscription; a later or second call does nothing."""
+        """Cancels the callback; has no effect once it ran or was cancelled."""
         self.callback = None
 
 
 class TimerService(typing.Protocol):
-    """A monotonic clock, in seconds, and subscriptions to it."""
+    """A monotonic clock, in seconds, that schedules callbacks."""
 
     def now(self) -> float:
         """Returns the monotonic time in seconds."""
@@ -64,21 +65,21 @@
         self._callback()
 
     def stop(self) -> None:
-        """Ends the subscription."""
+        """Stops the timer."""
         self._stopped = True
         self._timer.cancel()
 
 
 class Ticker:
-    """One timer for all periodic work of a process.
+    """Runs all periodic work of a process from a single timer.
 
-    Parts subscribe with periods of whole steps, so that the process wakes
-    once for all that is due: 10 times a second for six parts, where a timer
-    each took 27.
+    Periods are multiples of one step, so that the process wakes up once for
+    all callbacks that are due: 10 times per second for six callbacks, instead
+    of 27 times with a timer for each.
     """
 
     def __init__(self, timers: TimerService, step: float) -> None:
-        """Begins to tick.
+        """Starts the ticker.
 
         Args:
             timers: The timer service.
@@ -86,26 +87,28 @@
         """
         self._step = step
         self._ticks = 0
-        self._parts: list[tuple[int, Callable[[], object]]] = []
+        self._subscriptions: list[tuple[int, Callable[[], object]]] = []
         self._timer = PeriodicTimer(timers, step, self._tick)
 
     def subscribe(self, period: float, callback: Callable[[], object]) -> None:
-        """Runs a callback every `period` seconds, in whole steps."""
-        self._parts.append((max(1, round(period / self._step)), callback))
+        """Runs a callback every `period` seconds, rounded to whole steps."""
+        self._subscriptions.append(
+            (max(1, round(period / self._step)), callback)
+        )
 
     def stop(self) -> None:
-        """Ends all subscriptions."""
+        """Stops all callbacks."""
         self._timer.stop()
 
     def _tick(self) -> None:
-        """Runs what is due; a part that fails holds up no other.
+        """Runs all due callbacks, even if some of them fail.
 
         Raises:
-            ExceptionGroup: Parts have failed.
+            ExceptionGroup: One or more callbacks failed.
         """
         self._ticks += 1
         failures: list[Exception] = []
-        for steps, callback in self._parts:
+        for steps, callback in self._subscriptions:
             if self._ticks % steps:
                 continue
             try:
@@ -117,33 +120,33 @@
 
 
 class VirtualTimers:
-    """A timer service whose time is moved by its owner."""
+    """A timer service whose time advances only when its owner moves it."""
 
     def __init__(self, start: float = 0.0) -> None:
         self._now = start
         self._queue: list[tuple[float, int, Timer]] = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
 
     def now(self) -> float:
         """Returns the virtual time in seconds."""
         return self._now
 
     def boot_now(self) -> float:
-        """Returns the same: a virtual machine is never suspended."""
+        """Returns the same as `now`: a simulated VM is never suspended."""
         return self._now
 
     def after(self, delay: float, callback: Callable[[], object]) -> Timer:
         """Runs `callback` once, `delay` virtual seconds from now."""
         timer = Timer(self._now + max(0.0, delay), callback)
-        heapq.heappush(self._queue, (timer.due, next(self._order), timer))
+        heapq.heappush(self._queue, (timer.due, next(self._sequence), timer))
         return timer
 
     def advance(self, seconds: float) -> None:
-        """Moves time forward, running all that falls due on the way."""
+        """Advances the time by `seconds`, running all callbacks due by then."""
         self.run_until(self._now + seconds)
 
     def run_until(self, end: float) -> None:
-        """Moves time to `end`, running all that falls due on the way."""
+        """Advances the time to `end`, running all callbacks due by then."""
         while self._queue and self._queue[0][0] <= end:
             due, _, timer = heapq.heappop(self._queue)
             callback = timer.callback
--- a/packages/decisions/src/ferry_decisions/_versions.py
+++ b/packages/decisions/src/ferry_decisions/_versions.py
@@ -1,9 +1,9 @@
-"""Which of two states of an entry of the store is the newer one.
+"""Ordering of the states of a store entry, also across restores of the store.
 
-Within an era of the store its revisions tell. A store that came back from a
-copy holds older states under later revisions; there the entries' own counts
-tell, which whoever writes them lets grow: a contract's version, a record's
-term.
+Within an era, the store's revisions order the states. A store restored from a
+backup holds older states under later revisions; there the counters in the
+entries decide, which their writers increment: a contract's version or a
+record's term.
 """
 
 from collections.abc import Callable
@@ -20,11 +20,11 @@
 
 @attrs.frozen(slots=True, order=True)
 class Rank:
-    """An entry's own count; equal for entries that have none.
+    """The counter in an entry's value; equal for all entries without one.
 
     Attributes:
-        count: Grows with each change.
-        step: Tells the steps of one change apart.
+        count: Increases with each change.
+        step: Orders the steps within one change.
     """
 
     count: int = 0
@@ -32,55 +32,56 @@
 
 
 NO_RANK = Rank()
-_ReadRank = Callable[[dict[str, typing.Any]], Rank]
-_readers: dict[str, _ReadRank] = {}
+_RankReader = Callable[[dict[str, typing.Any]], Rank]
+_rank_readers: dict[str, _RankReader] = {}
 
 
-def _ranks(prefix: str) -> Callable[[_ReadRank], _ReadRank]:
-    """Returns a decorator that registers how keys of a prefix are ranked."""
+def _ranks_prefix(prefix: str) -> Callable[[_RankReader], _RankReader]:
+    """Returns a decorator that registers how entries of a prefix are ranked."""
 
-    def register(read: _ReadRank) -> _ReadRank:
-        _readers[prefix] = read
+    def register(read: _RankReader) -> _RankReader:
+        _rank_readers[prefix] = read
         return read
 
     return register
 
 
-@_ranks(_contracts.CONTRACT_PREFIX)
+@_ranks_prefix(_contracts.CONTRACT_PREFIX)
 def _contract_rank(raw: dict[str, typing.Any]) -> Rank:
     return Rank(int(raw["version"]))
 
 
-@_ranks(_promotion.RECORD_PREFIX)
+@_ranks_prefix(_promotion.RECORD_PREFIX)
 def _record_rank(raw: dict[str, typing.Any]) -> Rank:
     return Rank(int(raw["term"]), int(bool(raw["primary"])))
 
 
 def rank_of(entry: _ports.StoreEntry) -> Rank:
-    """Returns an entry's own count; the lowest for one that is unreadable."""
-    for prefix, read in _readers.items():
+    """Returns the rank of an entry, or `NO_RANK` if it cannot be decoded."""
+    for prefix, read in _rank_readers.items():
         if entry.key.startswith(prefix):
             try:
                 return read(json.loads(entry.value))
             except (ValueError, KeyError, TypeError):
-                return NO_RANK  # Whoever decodes it says so.
+                # The code that uses the entry reports the error.
+                return NO_RANK
     return NO_RANK
 
 
 @attrs.frozen(slots=True)
 class Version:
-    """How new a state of an entry is.
+    """The version of a state of an entry.
 
     Attributes:
-        revision: The store's revision of it.
-        rank: Its own count.
+        revision: The store's revision of the state.
+        rank: The counter in the entry's value.
     """
 
     revision: _revisions.Revision
     rank: Rank
 
     def replaces(self, known: "Version") -> bool:
-        """Whether this state is newer than one that is known."""
+        """Whether this state is newer than a known one."""
         is_same_era = self.revision.era == known.revision.era
         if is_same_era or self.rank == known.rank:
             return self.revision > known.revision
@@ -88,14 +89,14 @@
 
 
 def version_of(entry: _ports.StoreEntry) -> Version:
-    """Returns how new an entry is."""
+    """Returns the version of an entry."""
     return Version(entry.revision, rank_of(entry))
 
 
 def newest(
     one: _ports.StoreEntry | None, other: _ports.StoreEntry | None
 ) -> _ports.StoreEntry | None:
-    """Returns the newer one of two states of an entry."""
+    """Returns the newer of two states of an entry; None counts as older."""
     if one is None or other is None:
         return one or other
     return other if version_of(other).replaces(version_of(one)) else one
@@ -106,14 +107,14 @@
     listed: dict[str, _ports.StoreEntry],
     era: int,
 ) -> list[_ports.StoreEntry]:
-    """Returns what nodes wrote in an earlier era and the store lacks now.
+    """Returns entries that nodes wrote in an earlier era and the store lost.
 
-    Whoever else writes to the store does so again by itself.
+    Other writers to the store write their entries again by themselves.
 
     Args:
-        held: The newest states that are known.
-        listed: What the store holds, by key.
-        era: The store's present era.
+        held: The newest known states of the entries.
+        listed: The store's entries by key.
+        era: The store's current era.
     """
     return [
         entry
@@ -125,10 +126,10 @@
 def _is_lost(
     entry: _ports.StoreEntry, stored: _ports.StoreEntry | None
 ) -> bool:
-    """Whether the store holds less than an entry that has a count.
+    """Whether the store lacks an entry with a rank or holds an older state.
 
-    Most came back unchanged, and are looked at in each read from then on: these
-    are not decoded.
+    Most entries are unchanged after a restore, and each later read compares
+    them again, so unchanged entries are not decoded.
     """
     if stored is not None and stored.value == entry.value:
         return False
--- a/packages/decisions/src/ferry_decisions/_watch.py
+++ b/packages/decisions/src/ferry_decisions/_watch.py
@@ -1,4 +1,4 @@
-"""Watching one database: probes, suspicion, promotion and repair.
+"""Monitoring of one database: probes, failure detection, failover and repair.
 
 Runs on each node that serves one of the database's members.
 """
@@ -18,10 +18,13 @@
 from ferry_decisions import _replicas
 from ferry_decisions import _timers
 
-RETRY_S = 0.25
+# Delay after a failed promotion; half of it after a vote without a majority.
+RETRY_DELAY_S = 0.25
+# Delay of a node's failover attempt per rank, so that observers take turns.
 RANK_DELAY_S = 0.15
-OPEN_CLAIM_S = 1.5
-TICK_S = 0.05
+# Age at which an open claim is superseded.
+OPEN_CLAIM_TIMEOUT_S = 1.5
+TICK_PERIOD_S = 0.05
 
 AskOpinions = Callable[
     [_databases.Database, str, int, Callable[[set[str]], bool]],
@@ -31,12 +34,13 @@
 
 @attrs.frozen(slots=True)
 class WatchSettings:
-    """The pace of a watch.
+    """Intervals and timeouts of a watch.
 
     Attributes:
-        probe_s: Period of the status probes, in seconds.
+        probe_s: Interval between status probes, in seconds.
         silence_s: Silence after which a primary is suspected, in seconds.
-        refused_s: Refusal after which a primary is suspected, in seconds.
+        refused_s: How long a primary's host must refuse connections before
+            the primary is suspected, in seconds.
     """
 
     probe_s: float = 0.2
@@ -46,19 +50,19 @@
 
 @attrs.frozen(slots=True)
 class WatchContext:
-    """What a watch needs from its node.
+    """The dependencies of a watch.
 
     Attributes:
         timers: The timer service.
         node: The node's name.
         data_centre: The node's data centre.
-        cfg: The pace of the watch.
+        cfg: Intervals and timeouts.
         store: The platform's store.
         ask_opinions: Asks the other observers of a database whether its
-            primary is gone; returns the data centres that say so.
-        publish: Takes a new record in, and tells every node.
-        leaving: Returns the endpoints, as `host:port`, that are leaving.
-        rank: This node's turn among a database's observers, from 0.
+            primary has failed; returns the data centres that agree.
+        publish: Applies a new record and sends it to all nodes.
+        leaving: Returns the endpoints that are leaving, as `host:port`.
+        rank: Returns this node's rank among a database's observers, from 0.
         new_id: Returns an identifier that is unique among all nodes.
     """
 
@@ -75,7 +79,7 @@
 
 
 class DatabaseWatch:
-    """What one node knows of one database, and does about it."""
+    """One node's monitor of one database, which also runs failovers."""
 
     def __init__(
         self,
@@ -102,17 +106,17 @@
         )
         self._probing: set[str] = set()
         self._probed_at: dict[str, float] = {}
-        self._deciding = False
+        self._is_failing_over = False
         self._record_at = ctx.timers.now()
         self._closed = False
         if record is not None:
             self.note_record(record)
         self._timer = _timers.PeriodicTimer(
-            ctx.timers, TICK_S, self._tick, first=0.0
+            ctx.timers, TICK_PERIOD_S, self._tick, first=0.0
         )
 
     def close(self) -> None:
-        """Stops watching."""
+        """Stops the watch and closes the driver."""
         self._closed = True
         self._timer.stop()
         self.driver.close()
@@ -120,7 +124,7 @@
             self.confirmations.close()
 
     def note_record(self, record: _databases.Record) -> None:
-        """Takes in a record, if it is newer than the one known."""
+        """Applies a record if it is newer than the known one."""
         if not record.newer_than(self.record):
             return
         self.record = record
@@ -141,13 +145,19 @@
             )
 
     def note_process_pause(self, late_s: float) -> None:
-        """Takes in that this process was paused."""
+        """Excludes a pause of this process from failure detection."""
         self._detector.note_process_pause(late_s)
 
     def note_answer(
         self, member: str, position: _positions.Position | None, asked_at: float
     ) -> None:
-        """Takes in the sign of life that an answer is."""
+        """Records a member's answer as evidence that it is alive.
+
+        Args:
+            member: The member that answered.
+            position: The position that it reported, if any.
+            asked_at: Time at which the request was sent, in seconds.
+        """
         self._detector.note_alive(member)
         if position is None:
             return
@@ -156,11 +166,15 @@
             self.tracker.note_primary(position, asked_at)
 
     def silence(self, member: str) -> float:
-        """Returns the seconds since the last sign of life of a member."""
+        """Returns the seconds since a member was last known to be alive."""
         return self._detector.silence(member)
 
     def opinion(self, member: str, term: int) -> set[str]:
-        """Returns the data centres for which this node finds a primary gone."""
+        """Returns the data centres that consider a primary failed.
+
+        This covers this node's own and those of replicas that report silence.
+        The set is empty if this node's record differs in primary or term.
+        """
         record = self.record
         if record is None or record.term != term or record.primary != member:
             return set()
@@ -178,27 +192,30 @@
         )
 
     def _tick(self) -> None:
-        """Sends the probes that are due, and looks for a primary gone.
+        """Sends due probes and starts a failover if one is needed.
 
-        A member that is silent is probed all the time, so that the end of a
-        short pause is seen at once.
+        A silent member is probed continuously, so that the end of a short
+        pause is noticed immediately.
         """
         now = self._timers.now()
-        calm_s = self._ctx.cfg.probe_s
+        interval_s = self._ctx.cfg.probe_s
         for member in self.database.members:
-            silent = self._detector.silence(member.name) > 1.5 * calm_s
-            due = now - self._probed_at.get(member.name, -calm_s) >= calm_s
+            silent = self._detector.silence(member.name) > 1.5 * interval_s
+            due = (
+                now - self._probed_at.get(member.name, -interval_s)
+                >= interval_s
+            )
             if (due or silent) and member.name not in self._probing:
                 self._probing.add(member.name)
                 self._probed_at[member.name] = now
                 _flows.start(self._probe(member))
-        if not self._deciding and self._wants_change():
-            self._deciding = True
-            fut = _flows.start(self._decide())
-            fut.add_done_callback(lambda _: self._decided())
+        if not self._is_failing_over and self._needs_failover():
+            self._is_failing_over = True
+            fut = _flows.start(self._run_failover())
+            fut.add_done_callback(lambda _: self._end_failover())
 
-    def _decided(self) -> None:
-        self._deciding = False
+    def _end_failover(self) -> None:
+        self._is_failing_over = False
 
     def _probe(self, member: _databases.Member) -> "_flows.Flow[None]":
         asked_at = self._timers.now()
@@ -232,12 +249,12 @@
     def _repair(
         self, member: _databases.Member, status: _databases.MemberStatus
     ) -> "_flows.Flow[None]":
-        """Makes a member that missed a change follow the present primary."""
+        """Makes a member that missed a promotion follow the present primary."""
         record = self.record
         if record is None or not record.primary:
             return
-        astray = status.term < record.term
-        if member.name == record.primary or not astray:
+        is_behind = status.term < record.term
+        if member.name == record.primary or not is_behind:
             return
         order = _ports.PromoteOrder(
             record.term, self.database.member(record.primary), record.starts
@@ -255,12 +272,12 @@
                 exc,
             )
 
-    def _wants_change(self) -> bool:
+    def _needs_failover(self) -> bool:
         record = self.record
         if record is None:
             return True
         if not record.primary:
-            return self._timers.now() - self._record_at > OPEN_CLAIM_S
+            return self._timers.now() - self._record_at > OPEN_CLAIM_TIMEOUT_S
         return self._detector.suspects(record.primary) or self._is_leaving(
             record.primary
         )
@@ -268,17 +285,17 @@
     def _is_leaving(self, name: str) -> bool:
         return self.database.member(name).address in self._ctx.leaving()
 
-    def _avoided(self) -> frozenset[str]:
+    def _leaving_members(self) -> frozenset[str]:
         return frozenset(
             m.name for m in self.database.members if self._is_leaving(m.name)
         )
 
-    def _decide(self) -> "_flows.Flow[None]":
-        """Changes the primary if a majority of data centres agrees."""
+    def _run_failover(self) -> "_flows.Flow[None]":
+        """Replaces the primary if a majority of data centres agrees."""
         yield _flows.sleep(
             self._timers, RANK_DELAY_S * self._ctx.rank(self.database)
         )
-        if self._closed or not self._wants_change():
+        if self._closed or not self._needs_failover():
             return
         known = self.record or _databases.Record(self.database.name, 0)
         if known.primary and not self._is_leaving(known.primary):
@@ -293,7 +310,7 @@
                 )
                 votes |= yield asked
             if not self._detector.is_majority(votes):
-                yield _flows.sleep(self._timers, RETRY_S / 2)
+                yield _flows.sleep(self._timers, RETRY_DELAY_S / 2)
                 return
         yield from self._promote(known)
 
@@ -305,7 +322,7 @@
             self.database,
             self._ctx.node,
             self._ctx.new_id(),
-            self._avoided(),
+            self._leaving_members(),
         )
         logging.info(
             "event=promotion_begins database=%s term=%d primary=%s",
@@ -331,7 +348,7 @@
                 type(exc).__name__,
                 exc,
             )
-            yield _flows.sleep(self._timers, RETRY_S)
+            yield _flows.sleep(self._timers, RETRY_DELAY_S)
             return
         self.promotions += 1
         logging.info(
--- a/packages/decisions/src/ferry_decisions/tests/test_admission.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Who gets the next slot: shares, bounds and deadlines."""
+"""Tests of the admission queue: shares, limits and deadlines."""
 
 import attrs
 import pytest
@@ -23,22 +23,22 @@
 
 
 def served_in(shares, rounds=300, service_s=0.01):
-    """Returns how often each customer was served while all wait."""
+    """Returns how often each customer was served while all queues are full."""
     timers = decisions.VirtualTimers()
     queue = queue_of(timers)
     counts = dict.fromkeys(shares, 0)
 
-    def ask(name):
+    def request(name):
         fut = queue.acquire(contract(name, shares[name]), 1e9)
         fut.add_done_callback(lambda done: serve(name, done.result()))
 
     def serve(name, slot):
         counts[name] += 1
-        timers.after(service_s, lambda: (ask(name), queue.release(slot)))
+        timers.after(service_s, lambda: (request(name), queue.release(slot)))
 
     for name in shares:
         for _ in range(3):
-            ask(name)
+            request(name)
     timers.advance(rounds * service_s)
     return counts
 
@@ -57,10 +57,10 @@
 def test_slots_are_never_idle_while_one_waits():
     timers = decisions.VirtualTimers()
     queue = queue_of(timers, slots=3)
-    futs = [queue.acquire(contract("only"), 1e9) for _ in range(7)]
-    assert [f.done() for f in futs] == [True] * 3 + [False] * 4
-    queue.release(futs[0].result())
-    assert futs[3].done() and not futs[4].done()
+    futures = [queue.acquire(contract("only"), 1e9) for _ in range(7)]
+    assert [f.done() for f in futures] == [True] * 3 + [False] * 4
+    queue.release(futures[0].result())
+    assert futures[3].done() and not futures[4].done()
 
 
 def failed_with(fut):
--- a/packages/decisions/src/ferry_decisions/tests/test_contracts.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_contracts.py
@@ -1,11 +1,11 @@
-"""Contracts: validation as a whole, and versions that never go back."""
+"""Tests of contracts: validation, and versions that never revert."""
 
 import attrs
 import pytest
 
 import ferry_decisions as decisions
 
-GOOD = {
+VALID_CONTRACT = {
     "customer": "lone-star",
     "databases": ["plates"],
     "share": 10,
@@ -14,7 +14,7 @@
 
 
 def test_good_document():
-    contract = decisions.contract_from_json(GOOD)
+    contract = decisions.contract_from_json(VALID_CONTRACT)
     assert contract.share == 10
     assert contract.staleness_s == 0.0
 
@@ -34,7 +34,7 @@
 )
 def test_every_mistake_is_reported_with_its_path(name, change, paths):
     with pytest.raises(decisions.InvalidDocumentError) as found:
-        decisions.contract_from_json({**GOOD, **change})
+        decisions.contract_from_json({**VALID_CONTRACT, **change})
     assert [getattr(e, "path", "") for e in found.value.exceptions] == paths, (
         name
     )
@@ -52,7 +52,7 @@
 )
 def test_values_out_of_range_are_refused(change):
     with pytest.raises(decisions.InvalidDocumentError):
-        decisions.contract_from_json({**GOOD, **change})
+        decisions.contract_from_json({**VALID_CONTRACT, **change})
 
 
 @pytest.mark.parametrize(
@@ -62,13 +62,15 @@
 def test_book_keeps_the_highest_version(versions, kept):
     book = decisions.ContractBook()
     for version in versions:
-        book.merge(decisions.contract_from_json({**GOOD, "version": version}))
+        book.merge(
+            decisions.contract_from_json({**VALID_CONTRACT, "version": version})
+        )
     assert book.get("lone-star").version == kept
 
 
 def test_tombstone_outlives_an_older_contract():
     book = decisions.ContractBook()
-    old = decisions.contract_from_json(GOOD)
+    old = decisions.contract_from_json(VALID_CONTRACT)
     book.merge(attrs.evolve(old, version=2, deleted=True))
     assert not book.merge(old)
     with pytest.raises(decisions.UnknownCustomerError):
--- a/packages/decisions/src/ferry_decisions/tests/test_membership.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_membership.py
@@ -1,4 +1,7 @@
-"""Membership under deaths, pauses, loss and cuts, in virtual time."""
+"""Tests of membership under crashes, pauses, packet loss and partitions.
+
+The tests run in virtual time.
+"""
 
 import ferry_standins as standins
 import pytest
--- a/packages/decisions/src/ferry_decisions/tests/test_positions.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_positions.py
@@ -1,11 +1,11 @@
-"""Positions, histories and floors."""
+"""Tests of log positions and of their comparison across terms."""
 
 import pytest
 
 import ferry_decisions as decisions
 
 P = decisions.Position
-CUT = decisions.History(((1, 0), (2, 5), (3, 9)))
+HISTORY = decisions.History(((1, 0), (2, 5), (3, 9)))
 
 
 @pytest.mark.parametrize(
@@ -22,7 +22,7 @@
     ],
 )
 def test_satisfies(name, applied, floor, expected):
-    assert decisions.satisfies(applied, floor, CUT) is expected, name
+    assert decisions.satisfies(applied, floor, HISTORY) is expected, name
 
 
 @pytest.mark.parametrize("text", ["", "1", "1:", ":2", "a:b", "-1:2", "1:2:3"])
--- a/packages/decisions/src/ferry_decisions/tests/test_promotion.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_promotion.py
@@ -1,4 +1,4 @@
-"""The claim, the fence and the choice, over faults of the store."""
+"""Tests of promotions: claims, fencing, choice of the primary, store faults."""
 
 import ferry_standins as standins
 import pytest
--- a/packages/decisions/src/ferry_decisions/tests/test_sessions.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Settings and tokens of sessions."""
+"""Tests of session settings and tokens."""
 
 import pytest
 
--- a/packages/decisions/src/ferry_decisions/tests/test_small_parts.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_small_parts.py
@@ -1,4 +1,4 @@
-"""Flows, the blackboard, budgets, directories, placement and floors."""
+"""Tests of smaller modules: flows, the blackboard, retry budgets and others."""
 
 import collections
 import random
@@ -39,12 +39,12 @@
 
 def test_shared_round_is_never_older_than_the_request():
     timers = decisions.VirtualTimers()
-    begun = []
+    round_starts = []
 
     def work():
-        begun.append(timers.now())
+        round_starts.append(timers.now())
         yield decisions.sleep(timers, 1.0)
-        return begun[-1]
+        return round_starts[-1]
 
     rounds = decisions.SharedRounds(work)
     one = rounds.join()
@@ -58,7 +58,7 @@
     key, other = decisions.BoardKey("a", 0), decisions.BoardKey("b", 0)
     board = decisions.Blackboard()
 
-    class Greedy:
+    class UndeclaredWriter:
         reads: tuple[decisions.BoardKey[typing.Any], ...] = (key,)
         writes: tuple[decisions.BoardKey[typing.Any], ...] = ()
 
@@ -66,7 +66,7 @@
             view.write(other, 1)
 
     with pytest.raises(_blackboard.UndeclaredAccessError):
-        board.subscribe(Greedy())
+        board.subscribe(UndeclaredWriter())
 
 
 def test_controller_runs_when_what_it_reads_changes():
@@ -87,11 +87,11 @@
 
 def test_retries_are_a_share_of_first_tries():
     budget = decisions.RetryBudget(0.1, 5.0)
-    taken = 0
+    retries = 0
     for _ in range(1000):
         budget.note_first_attempt()
-        taken += budget.take()
-    assert 100 <= taken <= 106
+        retries += budget.take()
+    assert 100 <= retries <= 106
 
 
 def test_backoff_grows_within_its_bounds():
@@ -211,7 +211,7 @@
 
 
 def test_a_ticker_wakes_once_for_all_that_is_due():
-    """27 wakes a second with a timer for each of six parts, 10 so."""
+    """Six separate timers wake the process 27 times per second, a ticker 10."""
     timers = decisions.VirtualTimers()
     ticker = decisions.Ticker(timers, 0.1)
     runs: collections.Counter[str] = collections.Counter()
--- a/packages/decisions/src/ferry_decisions/tests/test_statements.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_statements.py
@@ -1,4 +1,4 @@
-"""What is known of a statement from its text."""
+"""Tests of the classification of statements."""
 
 import pytest
 
--- a/packages/decisions/src/ferry_decisions/tests/test_versions.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_versions.py
@@ -1,4 +1,4 @@
-"""Which of two states of an entry is newer, over eras of the store."""
+"""Tests of the order of an entry's states across eras of the store."""
 
 import json
 
@@ -96,7 +96,11 @@
 
 
 def test_what_is_known_is_not_decoded_again(monkeypatch):
-    """A reader lists 1,500 entries every few seconds: 1,500 decoded, now 0."""
+    """Guards against decoding unchanged entries.
+
+    A reader lists 1,500 entries every few seconds and used to decode all
+    1,500 of them; it now decodes 0.
+    """
     directory = decisions.Directory()
     known = [entry(1, 40 + n, version=3) for n in range(3)]
     directory.merge(known)
