--- a/packages/decisions/src/ferry_decisions/_admission.py
+++ b/packages/decisions/src/ferry_decisions/_admission.py
@@ -253,7 +253,7 @@
         return account
 
     def _expected_wait(self, account: _Account) -> float:
-        """Estimates the wait of one more statement at the present load."""
+        """Estimates the wait of one more statement at the current load."""
         busy = sum(a.share for a in self._accounts.values() if a.waiters)
         if not account.waiters:
             return 0.0
--- a/packages/decisions/src/ferry_decisions/_blackboard.py
+++ b/packages/decisions/src/ferry_decisions/_blackboard.py
@@ -37,7 +37,7 @@
     writes: tuple[BoardKey[typing.Any], ...]
 
     def run(self, board: "BoardView") -> None:
-        """Reacts to the present state of the entries."""
+        """Reacts to the current state of the entries."""
 
 
 class Blackboard:
--- a/packages/decisions/src/ferry_decisions/_confirmations.py
+++ b/packages/decisions/src/ferry_decisions/_confirmations.py
@@ -83,6 +83,7 @@
     def confirmed(self) -> int:
         """The highest log index that a majority is known to hold."""
         if self._needed == 0:
+            # A single member is a majority by itself.
             return 1 << 62
         held = sorted((r.held for r in self._replicas.values()), reverse=True)
         return held[self._needed - 1]
--- a/packages/decisions/src/ferry_decisions/_membership.py
+++ b/packages/decisions/src/ferry_decisions/_membership.py
@@ -331,6 +331,7 @@
             self._set_health(peer, incarnation, _probing.Health.DEAD)
 
     def _announce(self, update: _probing.Update) -> None:
+        """Queues O(log n) copies of an update and schedules a push."""
         count = max(2, len(self._peers) + 1)
         copies = 3 * math.ceil(math.log2(count))
         self._updates[update.node.name] = (update, copies)
--- a/packages/decisions/src/ferry_decisions/_watch.py
+++ b/packages/decisions/src/ferry_decisions/_watch.py
@@ -172,8 +172,9 @@
     def opinion(self, member: str, term: int) -> set[str]:
         """Returns the data centres that consider a primary failed.
 
-        This covers this node's own and those of replicas that report silence.
-        The set is empty if this node's record differs in primary or term.
+        These are this node's own, if it suspects the primary, and those of
+        replicas that no longer hear from it. The set is empty if this node's
+        record has another primary or term.
         """
         record = self.record
         if record is None or record.term != term or record.primary != member:
@@ -249,7 +250,7 @@
     def _repair(
         self, member: _databases.Member, status: _databases.MemberStatus
     ) -> "_flows.Flow[None]":
-        """Makes a member that missed a promotion follow the present primary."""
+        """Makes a member that missed a promotion follow the current primary."""
         record = self.record
         if record is None or not record.primary:
             return
