--- a/packages/decisions/src/ferry_decisions/tests/test_sessions.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_sessions.py
@@ -41,12 +41,7 @@
 
 @pytest.mark.parametrize(
     ("text", "seconds"),
-    [
-        ("age 5s", 5.0),
-        ("age 250ms", 0.25),
-        ("AGE 2min", 120),
-        ("primary", 0),
-    ],
+    [("age 5s", 5.0), ("age 250ms", 0.25), ("AGE 2min", 120), ("primary", 0)],
 )
 def test_staleness(text, seconds):
     assert decisions.parse_staleness(text) == seconds
