--- a/packages/decisions/src/ferry_decisions/__init__.py
+++ b/packages/decisions/src/ferry_decisions/__init__.py
@@ -1,7 +1,7 @@
-"""Decisions of rosemaryferry: no sockets, no threads, no clock of its own.
+"""Decision logic of rosemaryferry, without sockets, threads or a clock.
 
-A module is loaded when one of its names is first used: a node on the platform
-needs a third of them, and starts sooner without the rest.
+Each module is loaded on first use of one of its names: a node on the platform
+needs a third of the modules and starts faster without the others.
 """
 
 import typing
@@ -180,7 +180,7 @@
     from ferry_decisions._watch import WatchSettings as WatchSettings
 
 _NAMES = {
-    "_admission": ["AdmissionQueue", "ADMISSION_POLICIES", "Slot"],
+    "_admission": ["ADMISSION_POLICIES", "AdmissionQueue", "Slot"],
     "_blackboard": ["Blackboard", "BoardKey", "BoardView"],
     "_confirmations": ["TermReplacedError"],
     "_contracts": [
@@ -208,8 +208,8 @@
         "SharedRounds",
         "TimeoutExpiredError",
         "completed",
-        "either",
         "failed",
+        "first_completed",
         "forward",
         "reject",
         "resolve",
@@ -225,7 +225,6 @@
     "_outcomes": [
         "ANSWER_LOST",
         "BEHIND",
-        "REASONS_BY_NAME",
         "CANCELED",
         "DEADLINE_IN_QUEUE",
         "DUPLICATE_KEY",
@@ -245,6 +244,7 @@
         "Outcome",
         "PROTOCOL_VIOLATION",
         "READ_CUT",
+        "REASONS_BY_NAME",
         "Reason",
         "RequestFailedError",
         "STATEMENT_FAILED",
@@ -294,7 +294,7 @@
     "_routing": ["READ_POLICIES", "ReadRequest"],
     "_session_floors": ["SessionFloors"],
     "_sessions": ["SessionState", "parse_staleness"],
-    "_statements": ["StatementKind", "SETTING_PREFIX", "Statement", "classify"],
+    "_statements": ["SETTING_PREFIX", "Statement", "StatementKind", "classify"],
     "_structuring": ["InvalidDocumentError", "structure", "unstructure"],
     "_timers": [
         "PeriodicTimer",
