--- a/packages/proxy/src/ferry_proxy/_groups.py
+++ b/packages/proxy/src/ferry_proxy/_groups.py
@@ -179,7 +179,9 @@
         pool = self.leader_pool
         if pool is None:
             return now - self.leaderless_since < limit_s
-        return pool.contact.is_quiet and pool.contact.unanswered_s < limit_s
+        return (
+            pool.contact.is_unresponsive and pool.contact.unanswered_s < limit_s
+        )
 
     @property
     def floor_age_s(self) -> float:
@@ -192,7 +194,7 @@
     @property
     def is_troubled(self) -> bool:
         """Whether contact with a member failed and has not come back."""
-        return any(p.contact.troubled_s > 0 for p in self.pools.values())
+        return any(p.contact.link_failing_s > 0 for p in self.pools.values())
 
     def is_near(self, pool: _pools.Pool) -> bool:
         """Whether a member is in this node's data centre."""
@@ -200,7 +202,7 @@
 
     def is_responsive(self, pool: _pools.Pool) -> bool:
         """Whether a member answers what it is sent, as far as is known."""
-        return not pool.is_unreachable and not pool.contact.is_quiet
+        return not pool.is_unreachable and not pool.contact.is_unresponsive
 
     def expect_change(self) -> None:
         """Notes that a change of primary has begun."""
@@ -279,7 +281,7 @@
         unheard = [
             p
             for p in others
-            if p.contact.heard < late or p.contact.troubled_s > 0
+            if p.contact.heard < late or p.contact.link_failing_s > 0
         ]
         for number in range(min(self.proof_size, len(responsive))):
             turn = (self._turn + number) % len(responsive)
--- a/packages/proxy/src/ferry_proxy/_pools.py
+++ b/packages/proxy/src/ferry_proxy/_pools.py
@@ -153,7 +153,7 @@
 
     def discard(self, taken: PooledLink) -> None:
         """Closes a link that must not be used again."""
-        self.contact.note_trouble()
+        self.contact.note_link_failure()
         taken.link.close()
         self.release(taken)
 
@@ -169,7 +169,7 @@
             decisions.RequestFailedError: No answer within `probe_timeout_s`.
         """
         fut = taken.link.run([command])[0]
-        limit_s = max(self._policy.probe_timeout_s, self.contact.patience_s)
+        limit_s = max(self._policy.probe_timeout_s, self.contact.max_reply_s)
         try:
             reply: _links.Reply = yield decisions.within(
                 self._clock, limit_s, fut
@@ -378,7 +378,7 @@
         self._serve()
 
     def _note_failure(self, exc: BaseException) -> None:
-        self.contact.note_trouble()
+        self.contact.note_link_failure()
         backoff_s = self._policy.connect_backoff_s
         if isinstance(exc, _links.ConnectFailedError):
             self.is_replaced = exc.reason is decisions.WRONG_MEMBER
--- a/packages/proxy/src/ferry_proxy/_promotions.py
+++ b/packages/proxy/src/ferry_proxy/_promotions.py
@@ -160,7 +160,7 @@
     def _ask_if_quiet(self) -> None:
         """Asks over other links at once: one lost link is no lost member."""
         pool = self._group.leader_pool
-        if pool is None or not pool.contact.is_quiet:
+        if pool is None or not pool.contact.is_unresponsive:
             return
         if self._ctx.clock.now() - self._group.round_at > ASK_AGAIN_S:
             self._group.refresh()
@@ -366,6 +366,6 @@
 
     Members that take long for a statement are given longer.
     """
-    if pool is None or not pool.contact.is_quiet:
+    if pool is None or not pool.contact.is_unresponsive:
         return 0.0
     return min(pool.contact.unanswered_s, pool.contact.silence_s)
--- a/packages/proxy/src/ferry_proxy/_served_groups.py
+++ b/packages/proxy/src/ferry_proxy/_served_groups.py
@@ -318,7 +318,7 @@
             return len(names)
         return 1 + len(heard & names - {self._ctx.own.name})
 
-    def forgive(self, late_s: float) -> None:
+    def exclude_pause(self, late_s: float) -> None:
         """A pause of this process is not held against the members."""
         policy = self._ctx.policy
         if late_s < policy.probe_timeout_s:
@@ -330,7 +330,7 @@
                 group.leaderless_since, now - policy.probe_s
             )
             for pool in group.pools.values():
-                pool.contact.forgive(late_s)
+                pool.contact.exclude_pause(late_s)
 
     def close(self) -> None:
         """Closes all links."""
@@ -346,7 +346,7 @@
         limit_s: How old a sign may be, in seconds.
     """
     pool = group.leader_pool
-    if pool is None or pool.contact.troubled_s > limit_s:
+    if pool is None or pool.contact.link_failing_s > limit_s:
         return False
     return group.floor_age_s < limit_s
 
--- a/packages/proxy/src/ferry_proxy/_transactions.py
+++ b/packages/proxy/src/ferry_proxy/_transactions.py
@@ -248,9 +248,9 @@
         def check() -> None:
             if fut.done():
                 return
-            if pool.contact.is_quiet:
+            if pool.contact.is_unresponsive:
                 pool.discard(taken)
             else:
                 self._clock.after(QUIET_CHECK_S, check)
 
-        self._clock.after(pool.contact.patience_s, check)
+        self._clock.after(pool.contact.max_reply_s, check)
