--- a/packages/proxy/src/ferry_proxy/_active_configuration.py
+++ b/packages/proxy/src/ferry_proxy/_active_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that a node serves callers by, and where it came from."""
+"""The configuration that a node serves callers with, and its origin."""
 
 import attrs
 
@@ -8,17 +8,18 @@
 from ferry_proxy import _homes
 from ferry_proxy import _store
 
-MAX_DETAIL = 400  # Characters of a log line on what was passed over.
+# The maximum length of an event's description of invalid items.
+MAX_DETAIL_CHARS = 400
 
 
 @attrs.frozen(slots=True)
 class Origin:
-    """Where a configuration was learned.
+    """Where a configuration came from.
 
     Attributes:
-        item: The item that holds it.
+        item: The item that holds the configuration.
         source: The store or a peer.
-        learned_at: When, in the clock's seconds.
+        learned_at: When it was received, in the clock's seconds.
     """
 
     item: _store.Item
@@ -27,12 +28,12 @@
 
 
 class ActiveConfiguration:
-    """The newest configuration that a node has heard of.
+    """The newest configuration that a node has received.
 
     Attributes:
         configuration: The configuration; None before the first one.
-        origin: Where it was learned; None before the first one.
-        homes: Which node each team is at home at.
+        origin: Where it came from; None before the first one.
+        homes: The assignment of teams to nodes.
     """
 
     def __init__(self, clock: _clocks.Clock) -> None:
@@ -43,16 +44,16 @@
 
     @property
     def version(self) -> int:
-        """The version in force; 0 without one."""
+        """The version of the configuration; 0 without one."""
         return self.configuration.version if self.configuration else 0
 
-    def take(
+    def update(
         self,
         cfg: _configuration.Configuration,
         item: _store.Item,
         source: str,
     ) -> None:
-        """Puts a configuration in force, unless a newer one is.
+        """Activates a configuration unless a newer one is active.
 
         Args:
             cfg: The configuration.
@@ -64,7 +65,7 @@
             return
         self.origin = Origin(item, source, self._clock.now())
         if known is not None and cfg.version == known.version:
-            return  # Written again, under another revision.
+            return  # The same version, written again at another revision.
         self.configuration = cfg
         rates = cfg.teams.rates
         if rates != self.homes.rates:
@@ -84,5 +85,5 @@
         )
         mistakes = cfg.teams.mistakes
         if mistakes and (known is None or known.teams.mistakes != mistakes):
-            detail = "; ".join(mistakes)[:MAX_DETAIL]
+            detail = "; ".join(mistakes)[:MAX_DETAIL_CHARS]
             _events.emit(_events.TeamsPassedOver(cfg.version, detail))
--- a/packages/proxy/src/ferry_proxy/_catalogue.py
+++ b/packages/proxy/src/ferry_proxy/_catalogue.py
@@ -1,8 +1,9 @@
-"""A node's copy of what the store holds, from the store or from peers.
+"""A node's local copy of the store, fed by the store itself and by peers.
 
-Items are merged by revision, so nothing ever goes back, whatever the source. A
-store that comes back from a copy begins an era: what it says then is newer than
-all that was known, and is read whole before anything else of that era counts.
+Items are merged by revision, so an item never reverts to an older state,
+whatever the source. A store that is restored from a backup starts a new era:
+its contents supersede everything known before, and a full snapshot has to be
+read before any single change of that era is applied.
 """
 
 from collections.abc import Callable
@@ -26,13 +27,13 @@
 
 @attrs.frozen(slots=True)
 class Layout:
-    """Where the platform keeps its items, and how they are decoded.
+    """Where the platform keeps its items, and how to decode them.
 
     Attributes:
         configuration_key: The key of the operators' configuration.
-        member_prefix: What the keys of the members' entries begin with.
-        decode_configuration: Raises `InvalidItemError` for an invalid one.
-        decode_member: The same, for a member's id and its entry.
+        member_prefix: The prefix of the keys of members' entries.
+        decode_configuration: Raises `InvalidItemError` if it is invalid.
+        decode_member: Likewise, for a member's id and entry.
     """
 
     configuration_key: str
@@ -43,14 +44,14 @@
 
 @attrs.frozen(slots=True)
 class Batch:
-    """What one copy of the store passes on to another.
+    """A set of items that one copy of the store sends to another.
 
     Attributes:
-        items: Items, and deletions unless it is whole.
-        revision: The revision up to which the items lead.
-        covered: The revision of the newest change among all these.
-        is_whole: Whether keys that are missing do not exist.
-        kept: The configuration in force, where the items do not hold it.
+        items: The items; includes deletions unless the batch is whole.
+        revision: The revision that the items are complete up to.
+        covered: The revision of the newest change among them.
+        is_whole: Whether it is a full snapshot: missing keys do not exist.
+        kept: The active configuration if the items do not contain it.
     """
 
     items: tuple[_store.Item, ...]
@@ -62,37 +63,37 @@
 
 @attrs.frozen(slots=True)
 class SnapshotRead:
-    """A reading of all items.
+    """A read of a full snapshot of the store.
 
     Attributes:
-        revision: The store's revision then.
-        read_at: The moment, in the clock's seconds.
-        has_news: Whether it held a newer configuration than the one that was
-            in force here before.
+        revision: The store's revision at the time.
+        read_at: When it was read, in the clock's seconds.
+        has_newer_version: Whether it held a newer configuration than the one
+            that was active here before.
     """
 
     revision: decisions.Revision
     read_at: float
-    has_news: bool = False
+    has_newer_version: bool = False
 
 
 class Catalogue:
-    """The items of the store, decoded.
+    """The decoded items of the store.
 
     Attributes:
         revision: The store's revision up to which all changes are known.
-        covered: The revision of the newest change that is known with all
-            before it.
-        active_configuration: The configuration in force.
-        grace: How long entries that are missing are still believed.
+        covered: The revision of the newest change that is known together with
+            all changes before it.
+        active_configuration: The configuration that is in use, and its origin.
+        grace: The period during which entries missing from the store are kept.
         nodes: The nodes by name.
-        claims: The claims of the store's present era, by group.
-        era_seen_at: When this node first read the store in its present era,
-            in boot time; long ago where the store names no eras.
-        first_reading: What this node first read of the store's present era;
-            None before that.
-        refused: Items that could not be read or named nothing to use.
-        on_change: Called after each change.
+        claims: The claims of the store's current era, by group.
+        era_seen_at: When this node first read the store in its current era, in
+            boot time; minus infinity if the store does not report eras.
+        first_snapshot: The first snapshot that this node read in the store's
+            current era; None before that.
+        refused: The number of items that were rejected as invalid.
+        on_change: Callbacks to run after each change.
     """
 
     def __init__(
@@ -115,7 +116,7 @@
             ),
             self.grace,
         )
-        self._since = decisions.UNREAD
+        self._complete_since = decisions.UNREAD
         self.revision = decisions.UNREAD
         self.covered = decisions.UNREAD
         self.active_configuration = _active_configuration.ActiveConfiguration(
@@ -124,22 +125,22 @@
         self.nodes: dict[str, _records.NodeEntry] = {}
         self.claims: dict[str, _records.HeldClaim] = {}
         self.era_seen_at = float("-inf")
-        self.first_reading: SnapshotRead | None = None
+        self.first_snapshot: SnapshotRead | None = None
         self.refused = 0
         self.on_change: list[Callable[[], object]] = []
 
     @property
     def member_prefix(self) -> str:
-        """What the keys of the members' entries begin with."""
+        """The prefix of the keys of members' entries."""
         return self._layout.member_prefix
 
     def limit_of(self, team: str) -> _teams.Limit:
-        """Returns how much a team may ask for, over all nodes."""
+        """Returns a team's rate limit, counted over all nodes."""
         cfg = self.configuration
         return cfg.teams.limit_of(team) if cfg else _teams.NO_LIMIT
 
     def item(self, key: str) -> _store.Item | None:
-        """Returns an item that is there."""
+        """Returns the item of a key; None if it does not exist."""
         found = self._items.get(key)
         return None if found is None or found.value is None else found
 
@@ -150,41 +151,42 @@
 
     @property
     def is_read(self) -> bool:
-        """Whether the store's items were read yet."""
+        """Whether the store's items have been read."""
         return self.revision > decisions.UNREAD
 
     def condition(self, key: str) -> decisions.Revision:
-        """Returns the revision that a key has, for a conditional write."""
+        """Returns a key's revision, as the condition of a write."""
         found = self.item(key)
         return found.revision if found else self.revision.beginning
 
     @property
     def configuration(self) -> _configuration.Configuration | None:
-        """The configuration in force; None before the first one."""
+        """The active configuration; None before the first one."""
         return self.active_configuration.configuration
 
     @property
     def version(self) -> int:
-        """Its version; 0 without one."""
+        """The version of the active configuration; 0 without one."""
         return self.active_configuration.version
 
     @property
     def homes(self) -> _homes.Homes:
-        """Which node each team is at home at."""
+        """The assignment of teams to nodes."""
         return self.active_configuration.homes
 
     def batch_after(
         self, revision: decisions.Revision, version: int = 0
     ) -> Batch:
-        """Returns what a copy lacks that knows all up to a revision.
+        """Returns the changes that another copy of the store is missing.
 
-        It is the whole copy where deletions since then may have been missed.
+        The batch is a full snapshot if this copy may itself have missed
+        deletions made since the given revision.
 
         Args:
-            revision: The revision.
-            version: The version of the configuration that it has.
+            revision: The revision up to which the other copy is complete.
+            version: The version of the other copy's configuration.
         """
-        is_whole = revision < self._since
+        is_whole = revision < self._complete_since
         items = tuple(
             i
             for i in self._items.values()
@@ -198,10 +200,10 @@
     def _missing_from(
         self, items: tuple[_store.Item, ...]
     ) -> _store.Item | None:
-        """Returns the configuration in force unless it is among items.
+        """Returns the active configuration's item unless items contain it.
 
-        The store's copy may hold an older one, and a node of a later era takes
-        no items of this one.
+        A restored store may hold an older configuration, and a node that is in
+        a later era ignores the items of this one.
         """
         origin = self.active_configuration.origin
         if origin is None or origin.item in items:
@@ -209,7 +211,7 @@
         return origin.item
 
     def merge_batch(self, batch: Batch, source: str) -> None:
-        """Merges in what another copy knows."""
+        """Merges a batch that another copy of the store has sent."""
         if batch.is_whole:
             snapshot = _store.Changes(batch.items, batch.revision)
             self.merge_snapshot(snapshot, source)
@@ -218,22 +220,22 @@
             self.merge_changes(changes, source)
         self.covered = max(self.covered, batch.covered)
         if batch.kept is not None:
-            # A node that has just started knows the store's copy, which may
-            # hold an older configuration than the one in force.
+            # A node that has just started knows only the restored store, which
+            # may hold an older configuration than the active one.
             self._apply(batch.kept, source)
             self._note_change()
 
     def merge_changes(self, changes: _store.Changes, source: str) -> None:
-        """Merges in all that changed after `revision`, up to a later one."""
+        """Merges all changes between `revision` and a later revision."""
         if changes.revision.era != self.revision.era:
-            return  # They came too late: the store is read anew meanwhile.
-        self._cover(changes)
+            return  # Outdated: a snapshot of a new era has been read since.
+        self._advance(changes)
         self.take(changes.items, source)
 
     def merge_snapshot(self, snapshot: _store.Changes, source: str) -> None:
-        """Takes all items in; what is missing has been deleted."""
+        """Merges a full snapshot; keys missing from it have been deleted."""
         present = {i.key for i in snapshot.items}
-        gone = [
+        deleted = [
             _store.Item(key, None, snapshot.revision)
             for key, item in self._items.items()
             if key not in present
@@ -242,17 +244,17 @@
         ]
         known = self.revision
         version = self.version
-        is_first = self.first_reading is None
+        is_first = self.first_snapshot is None
         is_restored = snapshot.revision.era > known.era
         if is_restored:
             self._begin_era(snapshot.revision.era, source)
-        self._since = max(self._since, snapshot.revision)
-        self._cover(snapshot)
-        taken = self.take((*snapshot.items, *gone), source)
+        self._complete_since = max(self._complete_since, snapshot.revision)
+        self._advance(snapshot)
+        taken = self.take((*snapshot.items, *deleted), source)
         if is_first or is_restored:
-            has_news = 0 < version < self.version
-            self.first_reading = SnapshotRead(
-                snapshot.revision, self._clock.now(), has_news
+            has_newer_version = 0 < version < self.version
+            self.first_snapshot = SnapshotRead(
+                snapshot.revision, self._clock.now(), has_newer_version
             )
         listed = len(snapshot.items)
         _events.emit(
@@ -263,12 +265,12 @@
                 known.era,
                 known.number,
                 listed,
-                listed + len(gone) - taken,
+                listed + len(deleted) - taken,
             )
         )
 
     def _begin_era(self, era: int, source: str) -> None:
-        """Takes in that the store came back from a copy, or is read first."""
+        """Handles the first snapshot of an era of the store."""
         self.era_seen_at = self._clock.boot_now()
         self.claims.clear()
         if self.is_read:
@@ -276,39 +278,40 @@
             self.grace.begin()
 
     def outdated_claims(self, service: str) -> list[_store.Item]:
-        """Returns the claims of a group that are of eras which are over."""
-        present = _records.claim_key(self.revision.era, service)
+        """Returns the claims of a group that belong to earlier eras."""
+        current = _records.claim_key(self.revision.era, service)
         return [
             item
             for key, item in self._items.items()
             if key.startswith(_records.CLAIM_PREFIX)
-            and key != present
+            and key != current
             and item.value is not None
             and _records.parse_claim_key(key).service == service
         ]
 
-    def _cover(self, changes: _store.Changes) -> None:
+    def _advance(self, changes: _store.Changes) -> None:
+        """Moves `revision` and `covered` forward to include changes."""
         self.revision = max(self.revision, changes.revision)
         newest = max(
             (i.revision for i in changes.items), default=decisions.UNREAD
         )
-        # Pages of a snapshot may hold items that are newer than it.
+        # The pages of a snapshot may hold items newer than its revision.
         self.covered = max(self.covered, min(newest, self.revision))
 
     def take(self, items: "tuple[_store.Item, ...]", source: str) -> int:
-        """Merges single items in.
+        """Merges single items, without advancing `revision`.
 
         Args:
             items: Items or deletions, in any order.
             source: Where they come from, for the log.
 
         Returns:
-            How many of them were newer than what was known.
+            The number of items that were newer than the known ones.
         """
         taken = 0
         for item in sorted(items, key=lambda i: i.revision):
             if item.revision.era != self.revision.era:
-                continue  # Of a history that is gone, or not read yet.
+                continue  # Of an earlier era, or of one not read yet.
             known = self._items.get(item.key)
             if known is not None and known.revision >= item.revision:
                 continue
@@ -320,7 +323,7 @@
         return taken
 
     def note_store_return(self) -> None:
-        """Takes in that the store answers again after a while."""
+        """Records that the store answers again after an outage."""
         self.grace.begin()
 
     def _note_change(self) -> None:
@@ -339,7 +342,7 @@
                 self._apply_configuration(item, source)
             elif item.key.startswith(layout.member_prefix):
                 member = item.key.removeprefix(layout.member_prefix)
-                self._entries.take(member, item)
+                self._entries.update(member, item)
             elif item.key.startswith(_records.NODE_PREFIX):
                 self._apply_node(
                     item.key.removeprefix(_records.NODE_PREFIX), item
@@ -350,26 +353,26 @@
             self._refuse(item, str(exc))
 
     def _refuse(self, item: _store.Item, detail: str) -> None:
-        """Passes over an item that names nothing to use."""
+        """Counts and logs an invalid item, which is then ignored."""
         self.refused += 1
-        shown = detail[: _active_configuration.MAX_DETAIL]
+        shown = detail[: _active_configuration.MAX_DETAIL_CHARS]
         number = item.revision.number
         _events.emit(_events.DocumentRefused(item.key, number, shown))
         name = item.key.removeprefix(self._layout.member_prefix)
         if name != item.key:
-            self._entries.doubt(name, item)
+            self._entries.note_invalid(name, item)
 
     def _apply_configuration(self, item: _store.Item, source: str) -> None:
         if item.value is not None:
             cfg = self._layout.decode_configuration(item.value)
-            self.active_configuration.take(cfg, item, source)
+            self.active_configuration.update(cfg, item, source)
 
     def _apply_node(self, name: str, item: _store.Item) -> None:
         if item.value is not None:
             self.nodes[name] = _records.NodeEntry.decode(name, item.value)
         elif self.grace.left_s > 0:
-            # The groups of a node that is there would change hands, and back
-            # once it has listed itself again.
+            # Removing a node that is still running would hand its groups to
+            # other nodes, and back once it has registered itself again.
             self._clock.after(
                 self.grace.left_s, lambda: self._drop_node(name, item)
             )
--- a/packages/proxy/src/ferry_proxy/_configuration.py
+++ b/packages/proxy/src/ferry_proxy/_configuration.py
@@ -8,7 +8,7 @@
 
 
 class Consistency(enum.Enum):
-    """What a route's reads have to show."""
+    """The consistency guarantee of a route's reads."""
 
     PRIMARY = "primary"
     BOUNDED = "bounded"
@@ -20,15 +20,16 @@
     """How the sessions of one database are served.
 
     Attributes:
-        name: The operators' name of the route.
-        database: The name that callers connect to.
-        service: The group of members that serves it.
-        consistency: What its reads have to show.
+        name: The route's name, given by the operators.
+        database: The database name that callers connect to.
+        service: The group of members that serves the route.
+        consistency: The consistency guarantee of its reads.
         timeout_s: The time limit of one statement, in seconds.
-        target_s: The latency that a whole operation aims at, in seconds.
-        priority: Its place in queues; 0 is the most urgent.
-        max_staleness_s: How old the state may be that a read shows.
-        is_open: Whether callers need no key.
+        target_s: The target latency of a whole operation, in seconds.
+        priority: Its priority in queues; 0 is the most urgent.
+        max_staleness_s: How old the data returned by a read may be, in
+            seconds.
+        is_open: Whether callers may use the route without a key.
     """
 
     name: str
@@ -44,13 +45,14 @@
 
 @attrs.frozen(slots=True)
 class Service:
-    """What operators say of a group of members.
+    """The operators' settings for a group of members.
 
     Attributes:
         name: The group's name.
-        max_connections: Connections that a member takes, of all callers.
-        sync_replicas: Replicas that have received a commit before it is
-            acknowledged.
+        max_connections: The number of connections that each member accepts,
+            over all callers.
+        sync_replicas: The number of replicas that must have received a commit
+            before it is acknowledged.
     """
 
     name: str
@@ -60,14 +62,14 @@
 
 @attrs.frozen(slots=True)
 class Configuration:
-    """One version of the configuration, whole.
+    """One complete version of the configuration.
 
     Attributes:
-        version: Its number; it grows with each change.
-        routes: The routes by the database that callers name.
+        version: The version number; it grows with each change.
+        routes: The routes by the database name that callers connect to.
         services: The groups by name.
-        transaction_idle_s: How long a transaction may rest, in seconds.
-        max_message_bytes: The largest message that is taken.
+        transaction_idle_s: How long a transaction may be idle, in seconds.
+        max_message_bytes: The size of the largest message that is accepted.
         teams: The teams and their keys.
     """
 
@@ -81,17 +83,17 @@
 
 @attrs.frozen(slots=True)
 class ConfigurationDraft:
-    """A configuration as its document lists it, mistakes included.
+    """A configuration as parsed from its document, before it is validated.
 
     Attributes:
-        version: Its number.
+        version: The version number.
         routes: All routes, in the document's order.
-        services: All services, in its order.
-        transaction_idle_s: How long a transaction may rest, in seconds.
-        mistakes: What was wrong, in words.
-        teams: All teams, in its order; those that were wrong are left out.
-        team_mistakes: What was wrong with teams, in words. It costs only the
-            team or the key that it is about.
+        services: All services, in the document's order.
+        transaction_idle_s: How long a transaction may be idle, in seconds.
+        mistakes: Descriptions of the errors found.
+        teams: All valid teams, in the document's order.
+        team_mistakes: Descriptions of errors in teams. Such an error only
+            invalidates the team or the key concerned.
     """
 
     version: int
--- a/packages/proxy/src/ferry_proxy/_contact.py
+++ b/packages/proxy/src/ferry_proxy/_contact.py
@@ -1,54 +1,63 @@
-"""When a member was asked and heard: the evidence on whether it lives.
+"""Records when a member was asked and answered, to tell whether it is alive.
 
-Silence alone says little: nobody may have asked. What counts is for how long a
-member has left unanswered what was sent to it after it was last heard, against
-the time that its statements take lately. Slow members answer late but often,
-since they have several slots; a dead one answers nothing at all.
+Silence alone proves little, since nothing may have been sent to the member.
+What counts is how long it has left unanswered what was sent to it after it was
+last heard from, compared to the recent duration of its statements. Slow members
+answer late but often, since they have several slots; a dead member answers
+nothing at all.
 """
 
 from ferry_proxy import _clocks
 
-LATENCY_WEIGHT = 0.2  # Of the newest sample in a moving mean; about 5 samples.
-QUIET_S = 0.15  # Many network trips, and longer than any calm statement.
-QUIET_FACTOR = 4.0  # Of the mean time of a statement: the p99 of a lognormal
-# distribution of times with a spread of 0.7 is 4.1 times its mean.
+# The weight of the newest sample in the moving average, which then spans about
+# 5 samples.
+LATENCY_WEIGHT = 0.2
+
+# Many network trips, and longer than any statement takes under normal load.
+MIN_REPLY_LIMIT_S = 0.15
+
+# The longest reply time of a live member, as a multiple of the mean time of a
+# statement. The p99 of a lognormal distribution of times with a spread of 0.7
+# is 4.1 times its mean.
+REPLY_LIMIT_FACTOR = 4.0
 
 
 class Contact:
-    """What one node knows of its contact with one member.
+    """One node's recent communication with one member.
 
     Attributes:
-        heard: When it last answered, in the clock's seconds.
-        reported: When a peer last heard it.
-        refused_since: Since when its machine has refused connections.
-        latency_s: The mean time of a statement there, lately.
+        heard: When the member last answered this node, in the clock's seconds.
+        reported: When the member last answered a peer, as the peer reports.
+        refused_since: Since when its machine has refused connections; infinite
+            if it does not.
+        latency_s: The moving average of the time of its statements.
     """
 
     def __init__(self, clock: _clocks.Clock) -> None:
         self._clock = clock
         self._asked_at: float | None = None
-        self._troubled_since: float | None = None
+        self._link_failing_since: float | None = None
         self.heard = self.reported = clock.now()
         self.refused_since = float("inf")
         self.latency_s = 0.0
 
     @property
     def silence_s(self) -> float:
-        """Seconds since this node or a peer heard the member."""
+        """Seconds since the member last answered this node or a peer."""
         return self._clock.now() - max(self.heard, self.reported)
 
     @property
     def link_failing_s(self) -> float:
-        """Seconds for which every contact with the member has failed."""
-        if self._troubled_since is None:
+        """Seconds since a connection failed without any answer afterwards."""
+        if self._link_failing_since is None:
             return 0.0
-        return self._clock.now() - self._troubled_since
+        return self._clock.now() - self._link_failing_since
 
     @property
     def unanswered_s(self) -> float:
-        """Seconds since the first question that it has not answered.
+        """Seconds since the first message that the member has not answered.
 
-        Questions count that were sent after it was last heard.
+        Only messages sent after the member last answered count.
         """
         if self._asked_at is None:
             return 0.0
@@ -56,46 +65,46 @@
 
     @property
     def max_reply_s(self) -> float:
-        """For how long a member that lives may leave all unanswered."""
-        return max(QUIET_S, QUIET_FACTOR * self.latency_s)
+        """How long a live member may leave every message unanswered."""
+        return max(MIN_REPLY_LIMIT_S, REPLY_LIMIT_FACTOR * self.latency_s)
 
     @property
     def is_unresponsive(self) -> bool:
-        """Whether it has been silent for longer than it usually is."""
+        """Whether messages went unanswered for longer than `max_reply_s`."""
         return self.unanswered_s > self.max_reply_s
 
     def note_asked(self) -> None:
-        """Takes in that something was sent that it has to answer."""
+        """Records that a message was sent that the member has to answer."""
         if self._asked_at is None:
             self._asked_at = self._clock.now()
 
     def note_heard(self, elapsed_s: float = 0.0) -> None:
-        """Takes in that it answered.
+        """Records an answer of the member.
 
         Args:
-            elapsed_s: How long a statement took; 0 for other answers.
+            elapsed_s: The time that a statement took; 0 for other answers.
         """
         self.heard = self._clock.now()
         self.refused_since = float("inf")
-        self._troubled_since = None
+        self._link_failing_since = None
         self._asked_at = None
         if elapsed_s:
             self.latency_s += (elapsed_s - self.latency_s) * LATENCY_WEIGHT
 
     def note_link_failure(self) -> None:
-        """Takes in that a link was lost or could not be opened."""
-        if self._troubled_since is None:
-            self._troubled_since = self._clock.now()
+        """Records that a connection was lost or could not be opened."""
+        if self._link_failing_since is None:
+            self._link_failing_since = self._clock.now()
 
     def note_refused(self) -> None:
-        """Takes in that its machine answered that nothing listens there."""
+        """Records that the member's machine refused a connection."""
         self.refused_since = min(self.refused_since, self._clock.now())
 
     def exclude_pause(self, late_s: float) -> None:
-        """Leaves out a pause of this process.
+        """Excludes a pause of this process from the silence of the member.
 
         Args:
-            late_s: How long it was.
+            late_s: The length of the pause, in seconds.
         """
         now = self._clock.now()
         self.heard = min(now, self.heard + late_s)
--- a/packages/proxy/src/ferry_proxy/_copy_sources.py
+++ b/packages/proxy/src/ferry_proxy/_copy_sources.py
@@ -1,4 +1,4 @@
-"""Which peer a node asks for its copy of the store, and when again."""
+"""Chooses the peer that a node asks for missing changes of the store."""
 
 from collections.abc import Sequence
 import random
@@ -10,11 +10,18 @@
 from ferry_proxy import _clocks
 
 PAUSE_FIRST_S = 0.2
-PAUSE_MAX_S = 5.0  # A copy may be a whole document on a narrow link.
+
+# Long enough that repeated answers, each of which may contain the whole
+# configuration, do not fill a narrow link.
+PAUSE_MAX_S = 5.0
 
 
 class Named(typing.Protocol):
-    """A stream to a peer."""
+    """A stream to a peer.
+
+    Attributes:
+        peer: The name of the peer.
+    """
 
     peer: str
 
@@ -24,61 +31,62 @@
 
 @attrs.define(slots=True)
 class _Attempts:
-    """What came of asking one peer.
+    """The result of recent requests to one peer.
 
     Attributes:
-        in_vain: How often in a row nothing new came of it.
-        not_before: When to ask it again, in the clock's seconds.
+        failures: The number of requests in a row that brought nothing new.
+        not_before: When to ask the peer again, in the clock's seconds.
     """
 
-    in_vain: int = 0
+    failures: int = 0
     not_before: float = float("-inf")
 
 
 class CopySources:
-    """Chooses among the peers that know more.
+    """Chooses among the peers that are ahead of this node.
 
-    A peer that could not help is asked again after a pause that grows: what it
-    lacked may reach it at any time.
+    A peer that brought nothing new is asked again after a pause that grows with
+    each failure, since it may receive the missing changes at any time.
     """
 
     def __init__(self, clock: _clocks.Clock, rng: random.Random) -> None:
-        """Makes a choice without any attempts.
+        """Creates an instance without any attempts.
 
         Args:
             clock: The clock.
-            rng: Spreads the pauses of nodes that ask alike.
+            rng: Randomizes the pauses, so that nodes do not ask in step.
         """
         self._clock = clock
         self._rng = rng
         self._attempts: dict[str, _Attempts] = {}
 
     def choose(self, near: Sequence[P], far: Sequence[P]) -> P | None:
-        """Returns whom to ask now; None while all have to be left alone.
+        """Returns the peer to ask now; None if all have to be left to wait.
 
         Args:
-            near: Peers that know more, in this node's data centre.
-            far: Those elsewhere, which cost more.
+            near: Peers that are ahead, in this node's data centre.
+            far: Peers that are ahead, in other data centres; traffic to them
+                costs more.
         """
         now = self._clock.now()
-        found = [p for p in (*near, *far) if self._of(p.peer).not_before <= now]
-        return min(found, key=lambda p: self._of(p.peer).in_vain, default=None)
+        ready = [p for p in (*near, *far) if self._of(p.peer).not_before <= now]
+        return min(ready, key=lambda p: self._of(p.peer).failures, default=None)
 
     def note_failure(self, peer: str) -> None:
-        """Takes in that nothing new came from a peer."""
+        """Records that a request to a peer brought nothing new."""
         known = self._attempts.setdefault(peer, _Attempts())
-        known.in_vain += 1
+        known.failures += 1
         pause_s = decisions.backoff(
-            known.in_vain, PAUSE_FIRST_S, PAUSE_MAX_S, self._rng
+            known.failures, PAUSE_FIRST_S, PAUSE_MAX_S, self._rng
         )
         known.not_before = self._clock.now() + pause_s
 
     def note_success(self, peer: str) -> None:
-        """Takes in that a peer's copy brought something new."""
+        """Records that a request to a peer brought something new."""
         self._attempts.pop(peer, None)
 
-    def forget(self) -> None:
-        """Drops what is known of all peers."""
+    def reset(self) -> None:
+        """Forgets the attempts at all peers."""
         self._attempts.clear()
 
     def _of(self, peer: str) -> _Attempts:
--- a/packages/proxy/src/ferry_proxy/_currency.py
+++ b/packages/proxy/src/ferry_proxy/_currency.py
@@ -1,8 +1,9 @@
-"""How current the configuration is that a node decides by.
+"""Judges whether a node's configuration may be outdated.
 
-What a configuration allows may be done by an older one, too: that is how a data
-centre that is cut off goes on. What it lacks is another matter. A newer one may
-have it, so nobody is refused for good while there is any doubt.
+A node serves what its configuration allows even if that may be outdated, so
+that a data centre that is cut off keeps working. What the configuration lacks
+is different: a newer version may define it, so no caller is refused
+permanently while the configuration may be outdated.
 """
 
 from collections.abc import Sequence
@@ -16,11 +17,13 @@
 from ferry_proxy import _clocks
 from ferry_proxy import _suspensions
 
-COPY_DOUBT_S = 10.0  # In which the operators write again what a copy lacks.
+# The time that operators need, after the store was restored from a backup, to
+# write again what the backup lacks.
+RESTORE_DOUBT_S = 10.0
 
 
 class Doubt(enum.Enum):
-    """Why a configuration may be older than the newest confirmed one."""
+    """Why a configuration may be older than the newest confirmed version."""
 
     PEER_IS_AHEAD = "a peer has a newer configuration"
     STORE_SILENT = "no recent news of the store"
@@ -30,11 +33,11 @@
 
 
 class PeerInfo(typing.Protocol):
-    """A stream to a peer, as far as its configuration goes."""
+    """The configuration version that a peer reports on its stream."""
 
     @property
     def version(self) -> int:
-        """The version of the configuration that the peer has; 0 for none."""
+        """The version of the peer's configuration; 0 for none."""
 
 
 class PeerInfoSource(typing.Protocol):
@@ -46,31 +49,34 @@
 
 
 class StoreNews(typing.Protocol):
-    """What is known of the store's answers."""
+    """Tells when the store last answered."""
 
     @property
     def seen_at(self) -> float:
-        """When the store last answered this node or one that tells it."""
+        """When the store last answered this node or a peer that reports it."""
 
 
 @attrs.frozen(slots=True, kw_only=True, repr=False, eq=False)
 class Evidence:
-    """What a node knows of how current its configuration is.
+    """What a node knows about how current its configuration is.
+
+    Events contain these fields under their names.
 
     Attributes:
-        version: The version in force; 0 without one.
-        era: The era of the store that its item is of.
+        version: The version of the active configuration; 0 without one.
+        era: The store's era that the configuration's item belongs to.
         revision: The number of that item's revision.
-        source: Who told it: the store or a peer; empty without one.
-        held_s: Seconds since the source told it.
+        source: Where the item came from, the store or a peer; empty without a
+            configuration.
+        held_s: Seconds since the item was received.
         store_era: The era in which the store was last read.
         store_age_s: Seconds since the store answered this node or a peer that
-            told it so.
-        peers: How many peers are connected.
-        told_version: The newest version that one of them has.
-        copy_read_s: Seconds since this node first read a store that had come
-            back from a copy, if no configuration was written since; infinite
-            otherwise.
+            reported it.
+        peers: The number of connected peers.
+        told_version: The newest configuration version that a peer reports.
+        copy_read_s: Seconds since this node first read a store that had been
+            restored from a backup, if no configuration has been written since;
+            infinite otherwise.
     """
 
     version: int
@@ -89,21 +95,21 @@
     """Returns why a configuration may be outdated; None if it is current.
 
     Args:
-        evidence: What is known of it.
-        max_store_age_s: How often there is news of a store that is in reach, in
-            seconds.
+        evidence: What is known about the configuration.
+        max_store_age_s: The longest time between two answers of a store that
+            is reachable, in seconds.
     """
     if evidence.told_version > evidence.version:
         return Doubt.PEER_IS_AHEAD
     if evidence.store_age_s > max_store_age_s:
         return Doubt.STORE_SILENT
-    if evidence.copy_read_s < COPY_DOUBT_S:
+    if evidence.copy_read_s < RESTORE_DOUBT_S:
         return Doubt.STORE_RESTORED
     return None
 
 
 class Currency:
-    """Collects the evidence of one node."""
+    """Collects the evidence on one node's configuration."""
 
     def __init__(
         self,
@@ -119,17 +125,17 @@
         self._suspensions = _suspensions.Suspensions(clock)
 
     def update(self) -> None:
-        """Notes suspensions of this machine; to be called often."""
+        """Detects suspensions of this machine; has to be called often."""
         self._suspensions.update()
 
     @property
     def told_version(self) -> int:
-        """The newest version that a connected peer has; 0 for none."""
+        """The newest version that a connected peer reports; 0 for none."""
         return max((s.version for s in self._mesh.streams), default=0)
 
     @property
     def evidence(self) -> Evidence:
-        """What is known now."""
+        """The evidence as of now."""
         origin = self._catalogue.active_configuration.origin
         return Evidence(
             version=self._catalogue.version,
@@ -146,10 +152,10 @@
 
     @property
     def _copy_read_s(self) -> float:
-        first = self._catalogue.first_reading
+        first = self._catalogue.first_snapshot
         origin = self._catalogue.active_configuration.origin
         if first is None or not first.revision.era or origin is None:
             return math.inf
-        if first.has_news or origin.item.revision > first.revision:
-            return math.inf  # Written since the store came back.
+        if first.has_newer_version or origin.item.revision > first.revision:
+            return math.inf  # Written since the store was restored.
         return self._clock.now() - first.read_at
--- a/packages/proxy/src/ferry_proxy/_followers.py
+++ b/packages/proxy/src/ferry_proxy/_followers.py
@@ -1,8 +1,8 @@
-"""Following the store: one watch over all keys, and what to do without it.
+"""Follows the store with a single watch over all keys.
 
-A few nodes of each data centre watch the store; the others learn of changes
-from peers, and watch it themselves only while no peer has news. So the store's
-calls do not grow with the fleet.
+A few nodes of each data centre watch the store. The others learn of changes
+from peers, and watch the store themselves only while no peer has recent news of
+it. The number of store calls therefore does not grow with the fleet.
 """
 
 from collections.abc import Iterable
@@ -21,25 +21,34 @@
 from ferry_proxy import _store
 
 RETRY_FIRST_S = 0.1
-RETRY_MAX_S = 0.6  # Below the time in which a configuration must be in force.
+
+# Below the time within which a configuration has to take effect.
+RETRY_MAX_S = 0.6
 ALL_KEYS = ""
-READERS_PER_DATA_CENTRE = (
-    3  # Nodes of a data centre that watch: two may be away at once.
-)
-LOOK_S = 0.2  # How often a node that does not watch asks itself whether to.
-GATHER_S = 0.3  # All nodes of a fleet list themselves within 0.3 s of a start.
-# A watch ends with each: 6.3 watches a node among 24 that start, 0.75 so.
-MAX_STORE_AGE_S = (
-    5.0  # A watch in calm brings news each 3 s, and 4 s if it ends.
-)
+
+# How many nodes of a data centre watch the store; two of them may fail at once.
+READERS_PER_DATA_CENTRE = 3
+
+# How often a node that does not watch the store checks whether it should.
+ROLE_CHECK_S = 0.2
+
+# The pause between two watches after nodes have changed, so that one watch
+# returns several changes. All nodes of a starting fleet register within 0.3 s,
+# and each registration ends a watch: among 24 starting nodes, 6.3 watches per
+# node without this pause, 0.75 with it.
+BATCHING_PAUSE_S = 0.3
+
+# A watch is answered every 3 s while nothing changes, and after 4 s if it times
+# out, so a longer silence means that the store is unreachable.
+MAX_STORE_AGE_S = 5.0
 
 
 class PeerInfo(typing.Protocol):
-    """A stream to a peer, as far as news of the store go.
+    """What a peer reports on its stream about the store.
 
     Attributes:
-        store_seen: When the store last answered the peer, or a node that the
-            peer has its news from, in the clock's seconds.
+        store_seen: When the store last answered the peer, or the node that the
+            peer learned it from, in the clock's seconds.
     """
 
     store_seen: float
@@ -58,12 +67,12 @@
 ) -> bool:
     """Whether a node is one of those that watch the store.
 
-    Strong nodes come first: a configuration of 1,800 routes is 570 KB in the
-    store's answer, half a second of a link of 10 Mbit/s.
+    Strong nodes are preferred: a configuration of 1,800 routes takes 570 KB in
+    the store's answer, which is half a second on a link of 10 Mbit/s.
 
     Args:
         own: The node.
-        nodes: All nodes that are listed.
+        nodes: All registered nodes.
     """
     near = {n.name: n for n in nodes if n.data_centre == own.data_centre}
     near[own.name] = own
@@ -79,7 +88,7 @@
 
 
 def _is_of_nodes(changes: _store.Changes) -> bool:
-    """Whether changes only tell of nodes that come and go, in numbers."""
+    """Whether changes are not empty and concern only nodes' entries."""
     items = changes.items
     prefix = _records.NODE_PREFIX
     return bool(items) and all(i.key.startswith(prefix) for i in items)
@@ -104,42 +113,42 @@
         self._mesh = mesh
         self._policy = policy
         self._needs_snapshot = True
-        self._heard_at = float("-inf")
-        self._seen_before = float("-inf")
-        self._is_lost = False
+        self._answered_at = float("-inf")
+        self._last_seen_at = float("-inf")
+        self._is_unavailable = False
         self._is_reader = True
-        self._reads_once = False
+        self._is_read_requested = False
         self._stopped = False
-        catalogue.on_change.append(self._note_nodes)
+        catalogue.on_change.append(self._update_role)
 
     def start(self) -> None:
-        """Begins to follow the store."""
+        """Starts following the store."""
         decisions.start(self._follow())
 
     def stop(self) -> None:
-        """Ceases to follow the store."""
+        """Stops following the store."""
         self._stopped = True
 
     @property
     def is_watching(self) -> bool:
-        """Whether this node itself watches the store."""
+        """Whether this node watches the store itself."""
         is_new = not self._catalogue.is_read
-        if self._is_reader or self._reads_once or is_new:
+        if self._is_reader or self._is_read_requested or is_new:
             return True
-        return self._clock.now() - self._told_at > MAX_STORE_AGE_S
+        return self._clock.now() - self._reported_at > MAX_STORE_AGE_S
 
     def request_store_read(self) -> None:
-        """Has this node ask the store itself until that has answered."""
-        self._reads_once = True
+        """Makes this node watch the store until the store next answers."""
+        self._is_read_requested = True
 
     @property
     def seen_at(self) -> float:
-        """When the store last answered this node or one that tells it."""
-        return max(self._heard_at, self._told_at)
+        """When the store last answered this node or a peer that reports it."""
+        return max(self._answered_at, self._reported_at)
 
     @property
     def age_s(self) -> float:
-        """Seconds since then."""
+        """Seconds since the store last answered, as `seen_at` has it."""
         return self._clock.now() - self.seen_at
 
     @property
@@ -148,27 +157,27 @@
         return self.age_s < MAX_STORE_AGE_S
 
     def check(self) -> None:
-        """Notes a return of the store that peers tell of."""
-        seen, before = self.seen_at, self._seen_before
-        self._seen_before = seen
+        """Detects from peers' reports that an outage of the store has ended."""
+        seen, before = self.seen_at, self._last_seen_at
+        self._last_seen_at = seen
         if math.isfinite(before) and seen - before > MAX_STORE_AGE_S:
             self._catalogue.note_store_return()
 
     @property
-    def _told_at(self) -> float:
+    def _reported_at(self) -> float:
         return max(
             (s.store_seen for s in self._mesh.streams), default=float("-inf")
         )
 
-    def _note_nodes(self) -> None:
+    def _update_role(self) -> None:
         nodes = self._catalogue.nodes.values()
         self._is_reader = is_reader(self._own, nodes)
 
     def _follow(self) -> "decisions.Flow[None]":
-        pause = RETRY_FIRST_S
+        pause_s = RETRY_FIRST_S
         while not self._stopped:
             if not self.is_watching:
-                yield decisions.sleep(self._clock, LOOK_S)
+                yield decisions.sleep(self._clock, ROLE_CHECK_S)
                 continue
             try:
                 yield from self._follow_once()
@@ -176,13 +185,13 @@
                 self._needs_snapshot = True
                 _events.emit(_events.DependencyLost("history", str(exc)))
             except _store.StoreUnavailableError as exc:
-                if not self._is_lost:
-                    self._is_lost = True
+                if not self._is_unavailable:
+                    self._is_unavailable = True
                     _events.emit(_events.DependencyLost("store", str(exc)))
-                yield decisions.sleep(self._clock, pause)
-                pause = min(RETRY_MAX_S, pause * 2)
+                yield decisions.sleep(self._clock, pause_s)
+                pause_s = min(RETRY_MAX_S, pause_s * 2)
                 continue
-            pause = RETRY_FIRST_S
+            pause_s = RETRY_FIRST_S
 
     def _follow_once(self) -> "decisions.Flow[None]":
         catalogue = self._catalogue
@@ -191,7 +200,7 @@
             self._note_answer()
             catalogue.merge_snapshot(snapshot, "store")
             self._needs_snapshot = False
-            yield decisions.sleep(self._clock, GATHER_S)
+            yield decisions.sleep(self._clock, BATCHING_PAUSE_S)
         while not self._stopped and self.is_watching:
             changes = yield self._store.changes(
                 ALL_KEYS, catalogue.revision, self._policy.watch_wait_s
@@ -199,12 +208,12 @@
             self._note_answer()
             catalogue.merge_changes(changes, "store")
             if _is_of_nodes(changes):
-                yield decisions.sleep(self._clock, GATHER_S)
+                yield decisions.sleep(self._clock, BATCHING_PAUSE_S)
 
     def _note_answer(self) -> None:
-        self._heard_at = self._clock.now()
-        self._reads_once = False
-        if self._is_lost:
-            self._is_lost = False
+        self._answered_at = self._clock.now()
+        self._is_read_requested = False
+        if self._is_unavailable:
+            self._is_unavailable = False
             self._catalogue.note_store_return()
             _events.emit(_events.DependencyBack("store"))
--- a/packages/proxy/src/ferry_proxy/_grace.py
+++ b/packages/proxy/src/ferry_proxy/_grace.py
@@ -1,37 +1,37 @@
-"""How long entries that are missing from the store are still believed."""
+"""A grace period for entries that are missing from the store."""
 
 from ferry_proxy import _clocks
 
 
 class ReturnGrace:
-    """The time in which writers of entries come back to the store.
+    """The time that writers of entries have after the store returns.
 
-    Answers a store that was away, in which entries have lapsed, or that came
-    back from an older copy, which lacks entries: their writers need a moment
-    to write again, and are not gone meanwhile.
+    Entries may have lapsed during an outage of the store, or may be missing
+    from a backup that it was restored from. Their writers are still running and
+    need a moment to write again, so the entries are kept during this time.
     """
 
     def __init__(self, clock: _clocks.Clock, grace_s: float) -> None:
-        """Makes a grace that has not begun.
+        """Creates a grace period that has not begun.
 
         Args:
             clock: The clock.
-            grace_s: How long it lasts, in seconds.
+            grace_s: The length of the period, in seconds.
         """
         self._clock = clock
         self._grace_s = grace_s
-        self._begun = float("-inf")
+        self._begun_at = float("-inf")
 
     def begin(self) -> None:
-        """Notes that the store has just come back."""
-        self._begun = self._clock.now()
+        """Starts the period, because the store has just returned."""
+        self._begun_at = self._clock.now()
 
     @property
     def elapsed_s(self) -> float:
-        """Seconds since the store came back; infinite before it ever did."""
-        return self._clock.now() - self._begun
+        """Seconds since the store last returned; infinite if it never has."""
+        return self._clock.now() - self._begun_at
 
     @property
     def left_s(self) -> float:
-        """Seconds until it ends; zero or less once it has."""
+        """Seconds until the period ends; zero or less once it has."""
         return self._grace_s - self.elapsed_s
--- a/packages/proxy/src/ferry_proxy/_lost_nodes.py
+++ b/packages/proxy/src/ferry_proxy/_lost_nodes.py
@@ -1,8 +1,9 @@
-"""Removing the entries of nodes that are gone for good.
+"""Removes the entries of nodes that are permanently gone.
 
-VMs are replaced at any time, and nothing tells whether one comes back. Each
-node watches the next one on the ring; one that is out of its reach for long is
-taken off the list. A node that is removed by mistake lists itself anew.
+VMs may be replaced at any time, and nothing tells whether one will return. Each
+node monitors its successor on the ring, and removes the successor's entry after
+it has been unreachable for a long time. A node that was removed by mistake
+registers itself again.
 """
 
 import ferry_decisions as decisions
@@ -15,13 +16,19 @@
 from ferry_proxy import _records
 from ferry_proxy import _store
 
-REMOVE_AFTER_S = 15.0  # Longer than restarts, freezes and most partitions last.
-MIN_REACHED_SHARE = 0.5  # A node that reaches fewer of its peers judges nobody.
-REACHED_WITHIN_S = 2.0  # Peers that were heard within this are reached.
+# Longer than restarts, freezes and most partitions last.
+REMOVE_AFTER_S = 15.0
+
+# A node that reaches a smaller share of its peers removes no other node, since
+# it may be the one that is cut off.
+MIN_REACHED_SHARE = 0.5
+
+# Peers that were heard from within this time count as reached.
+REACHED_WITHIN_S = 2.0
 
 
 class LostNodes:
-    """Watches one other node, and takes it off the list when it is gone."""
+    """Monitors one other node, and removes its entry once it is gone."""
 
     def __init__(
         self,
@@ -42,11 +49,11 @@
         self._missing_since = 0.0
 
     def check(self) -> None:
-        """Weighs whether the next node on the ring is gone."""
+        """Checks whether the next node on the ring is gone."""
         now = self._clock.now()
         watched = _mesh.successor(self._own.name, self._catalogue.nodes)
         reached = watched in self._mesh.connected
-        if watched != self._watched or reached or not self._may_judge():
+        if watched != self._watched or reached or not self._may_remove():
             self._watched = watched
             self._missing_since = now
             return
@@ -54,7 +61,7 @@
             self._missing_since = now
             self._remove(watched)
 
-    def _may_judge(self) -> bool:
+    def _may_remove(self) -> bool:
         reached = (
             self._mesh.reached_share(REACHED_WITHIN_S) >= MIN_REACHED_SHARE
         )
@@ -67,9 +74,9 @@
             return
         _events.emit(_events.NodeRemoved(node))
         fut = self._store.remove_if(key, item.revision)
-        fut.add_done_callback(self._removed)
+        fut.add_done_callback(self._on_removed)
 
-    def _removed(self, fut: "decisions.Future[bool]") -> None:
+    def _on_removed(self, fut: "decisions.Future[bool]") -> None:
         exc = fut.exception()
-        if exc is not None:  # The next check that finds it missing repeats it.
+        if exc is not None:  # Repeated after another `REMOVE_AFTER_S`.
             _events.emit(_events.DependencyLost("store", str(exc)))
--- a/packages/proxy/src/ferry_proxy/_member_entries.py
+++ b/packages/proxy/src/ferry_proxy/_member_entries.py
@@ -1,4 +1,4 @@
-"""The members that the store lists, and entries that are not to be believed."""
+"""Keeps the list of members, and defers entries that may be outdated."""
 
 from collections.abc import Callable
 
@@ -15,14 +15,14 @@
 
 @attrs.frozen(slots=True)
 class EntriesContext:
-    """What the list of members works with.
+    """The dependencies of the list of members.
 
     Attributes:
         clock: The clock.
         policy: The tunables.
-        decode: Reads an entry; raises `InvalidItemError` for an invalid one.
-        is_current: Whether an item is still the store's newest of its key.
-        note_change: Called after each change that comes later.
+        decode: Decodes an entry; raises `InvalidItemError` if it is invalid.
+        is_current: Whether an item is still the newest known one of its key.
+        note_change: Called after each deferred change.
     """
 
     clock: _clocks.Clock
@@ -33,29 +33,30 @@
 
 
 class MemberEntries:
-    """The members by id.
+    """The members that the store lists.
 
     Attributes:
-        members: The members that are listed.
+        members: The members by id.
     """
 
     def __init__(self, ctx: EntriesContext, grace: _grace.ReturnGrace) -> None:
         self._ctx = ctx
         self._grace = grace
         self._births: dict[str, int] = {}
-        self._believed: dict[str, _store.Item] = {}
+        self._accepted: dict[str, _store.Item] = {}
         self._eras: dict[str, int] = {}
         self.members: dict[str, _members.Member] = {}
 
-    def take(self, name: str, item: _store.Item) -> None:
-        """Takes an entry in, or that it is gone.
+    def update(self, name: str, item: _store.Item) -> None:
+        """Applies a new entry, or the deletion of one.
 
         Args:
             name: The member's id.
-            item: The entry.
+            item: The entry's item.
 
         Raises:
-            InvalidItemError: It names no member to use.
+            InvalidItemError: The entry is malformed, or belongs to a process
+                of the member that has ended.
         """
         is_first = self._is_first(name, item)
         if item.value is None:
@@ -66,42 +67,45 @@
             raise _records.InvalidItemError(
                 f"of a life that has ended (born {member.born})"
             )
-        may_be_old = is_first and _is_lower(item, self._believed.get(name))
+        may_be_old = is_first and _may_be_outdated(
+            item, self._accepted.get(name)
+        )
         if may_be_old and not self._is_news(name, member):
-            # A member that leaves stood there as ready: statements went to it
-            # until it had written again, later than allowed.
-            self._later(item, lambda: self._apply(member, item))
+            # A restored store may list a member as ready that has started to
+            # leave since. Applied at once, such an entry caused statements to
+            # reach the member, until it wrote again, later than is allowed.
+            self._defer(item, lambda: self._apply(member, item))
             return
         self._apply(member, item)
 
-    def doubt(self, name: str, item: _store.Item) -> None:
-        """Keeps a known member whose entry cannot be read, for a while.
+    def note_invalid(self, name: str, item: _store.Item) -> None:
+        """Keeps a known member whose new entry is invalid for a while.
 
-        It stays for as long as a silent one is listed: its own next entry may
-        put it right.
+        It is kept for as long as a silent member stays listed, since its next
+        entry may be valid again.
         """
         if name in self.members:
             lapse_s = self._ctx.policy.entry_lapse_s
-            self._after(lapse_s, item, lambda: self._forget(name, item))
+            self._after(lapse_s, item, lambda: self._drop(name, item))
 
     def _is_first(self, name: str, item: _store.Item) -> bool:
         """Whether an entry is the first of its key that is seen in an era.
 
-        Whatever comes after it was written since the store came back.
+        All later ones were written after the store was restored.
         """
         era = item.revision.era
         before, self._eras[name] = self._eras.get(name, era), era
         return before != era
 
     def _is_news(self, name: str, member: _members.Member) -> bool:
-        """Whether an entry is later than what is known, by its own count."""
+        """Whether an entry has a higher sequence number than the known one."""
         known = self.members.get(name)
         return known is not None and member.sequence > known.sequence
 
     def _apply(self, member: _members.Member, item: _store.Item) -> None:
         name = member.id
         known = self.members.get(name)
-        self._believed[name] = item
+        self._accepted[name] = item
         self._births[name] = member.born
         self.members[name] = member
         if known != member:
@@ -109,46 +113,55 @@
             _events.emit(_events.MemberChanged(name, member.service, change))
 
     def _remove(self, name: str, item: _store.Item) -> None:
-        """Removes a member; entries that lapsed meanwhile may come back."""
+        """Removes a member, but not before the grace period has ended.
+
+        Entries that lapsed during an outage of the store may be written again.
+        """
         if self._grace.left_s > 0:
-            self._later(item, lambda: self._forget(name, item))
+            self._defer(item, lambda: self._drop(name, item))
         else:
-            self._forget(name, item)
+            self._drop(name, item)
 
-    def _forget(self, name: str, item: _store.Item) -> None:
-        self._believed[name] = item
+    def _drop(self, name: str, item: _store.Item) -> None:
+        self._accepted[name] = item
         member = self.members.pop(name, None)
         if member is not None:
             _events.emit(_events.MemberChanged(name, member.service, "gone"))
 
-    def _later(self, item: _store.Item, change: Callable[[], object]) -> None:
-        """Carries a change out when the grace ends, if nothing came since."""
+    def _defer(self, item: _store.Item, change: Callable[[], object]) -> None:
+        """Applies a change after the grace period if the item is still current.
+
+        Args:
+            item: The item that the change follows from.
+            change: Applies the change.
+        """
         self._after(self._grace.left_s, item, change)
 
     def _after(
         self, delay_s: float, item: _store.Item, change: Callable[[], object]
     ) -> None:
-        def look() -> None:
+        def apply_if_current() -> None:
             if self._ctx.is_current(item):
                 change()
                 self._ctx.note_change()
 
-        self._ctx.clock.after(max(0.0, delay_s), look)
+        self._ctx.clock.after(max(0.0, delay_s), apply_if_current)
 
 
 def _change(known: _members.Member | None, member: _members.Member) -> str:
-    """Returns what a member's new entry says, in one word for the log."""
+    """Returns the kind of change that a member's new entry shows."""
     if known is not None and member.is_next_life_of(known):
         return "born again"
     return "draining" if member.draining else "seen"
 
 
-def _is_lower(item: _store.Item, believed: _store.Item | None) -> bool:
-    """Whether an entry of a later era may say less than what is believed.
+def _may_be_outdated(item: _store.Item, accepted: _store.Item | None) -> bool:
+    """Whether an entry of a later era may be older than the accepted one.
 
-    A copy holds no number above those that were given out before it was made;
-    what was written since the store came back may have a lower one, too.
+    A backup contains only revision numbers that were assigned before it was
+    taken, so an entry from it never has a higher number. An entry written after
+    the restore may have a lower number, too.
     """
-    if believed is None or item.value == believed.value:
+    if accepted is None or item.value == accepted.value:
         return False
-    return item.revision.number <= believed.revision.number
+    return item.revision.number <= accepted.revision.number
--- a/packages/proxy/src/ferry_proxy/_planned_stop.py
+++ b/packages/proxy/src/ferry_proxy/_planned_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop of a node: callers leave before its process ends."""
+"""Graceful shutdown of a node: callers leave before its process ends."""
 
 from collections.abc import Callable
 from collections.abc import Collection
@@ -12,31 +12,33 @@
 from ferry_proxy import _serving
 from ferry_proxy import _sessions
 
-STEP_S = 0.05
-END_MARGIN_S = 0.6  # A process is gone this long before it would be killed.
+POLL_INTERVAL_S = 0.05
+
+# How long before the platform would kill the process it has to end by itself.
+END_MARGIN_S = 0.6
 
 
 class FrontControl(typing.Protocol):
-    """What a stop needs of the callers' side."""
+    """The operations on callers' connections that a shutdown needs."""
 
     def is_out_of_rotation(self) -> bool:
-        """Whether the balancer sends no new callers any more."""
+        """Whether the load balancer has stopped sending new callers."""
 
     def close_idle(self) -> None:
-        """Takes no more callers, and lets go those without a request."""
+        """Stops accepting callers, and disconnects those without a request."""
 
     def is_empty(self) -> bool:
-        """Whether no caller is left."""
+        """Whether all callers have disconnected."""
 
 
 @attrs.frozen(slots=True)
 class RemainingWork:
-    """What a node still has to do.
+    """The work of a node that has to end before it stops.
 
     Attributes:
-        sessions: Its callers' sessions, as they come and go.
-        serving: Other nodes' statements.
-        is_changing: Whether a change of primary is under way.
+        sessions: The live collection of its callers' sessions.
+        serving: The statements that it runs for other nodes.
+        is_changing: Returns whether a change of primary is in progress.
     """
 
     sessions: Collection[_sessions.Session]
@@ -45,11 +47,11 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing is under way that others wait for."""
+        """Whether no work is in progress that other nodes wait for."""
         return self.serving.is_idle and not self.is_changing()
 
     def end_transactions(self) -> None:
-        """Ends the transactions that rest."""
+        """Ends the transactions that are idle."""
         for session in list(self.sessions):
             session.end_transaction(decisions.TRANSACTION_LOST)
         self.serving.end_transactions(decisions.TRANSACTION_LOST)
@@ -61,26 +63,26 @@
     front: FrontControl,
     work: RemainingWork,
 ) -> "decisions.Flow[int]":
-    """Waits until callers have left, then returns how many had not.
+    """Waits for callers to leave, and returns how many sessions were cut off.
 
-    Open transactions have half of the time to end.
+    Open transactions may continue for half of the grace period.
 
     Args:
         clock: The clock.
-        grace_s: After how long the process would be killed, in seconds.
-        front: The callers' side.
-        work: What the node still has to do.
+        grace_s: The time after which the process would be killed, in seconds.
+        front: The callers' connections.
+        work: The work that has to end first.
     """
-    begun = clock.now()
-    half = grace_s / 2
-    end = begun + grace_s - END_MARGIN_S
-    while not front.is_out_of_rotation() and clock.now() - begun < half:
-        yield decisions.sleep(clock, STEP_S)
-    while clock.now() < end and not (front.is_empty() and work.is_finished):
+    begun_at = clock.now()
+    half_s = grace_s / 2
+    end_at = begun_at + grace_s - END_MARGIN_S
+    while not front.is_out_of_rotation() and clock.now() - begun_at < half_s:
+        yield decisions.sleep(clock, POLL_INTERVAL_S)
+    while clock.now() < end_at and not (front.is_empty() and work.is_finished):
         front.close_idle()
-        if clock.now() - begun >= half:
+        if clock.now() - begun_at >= half_s:
             work.end_transactions()
-        yield decisions.sleep(clock, STEP_S)
+        yield decisions.sleep(clock, POLL_INTERVAL_S)
     cut = len(work.sessions)
     _events.emit(_events.NodeStopped(cut))
     return cut
--- a/packages/proxy/src/ferry_proxy/_policy.py
+++ b/packages/proxy/src/ferry_proxy/_policy.py
@@ -1,4 +1,4 @@
-"""The proxy's own tunables, with their defaults and where they come from."""
+"""The proxy's tunables, with their defaults and the reasons for them."""
 
 import attrs
 
@@ -8,24 +8,30 @@
         raise ValueError(f"{field.name} must be positive")
 
 
-DRAIN_MARGIN_S = 1.0  # A statement on its way, its hop and a late timer.
-LAPSE_HEARTBEATS = 3  # After so many without a word a member is unlisted.
+# Time reserved for a statement in transit, its hop to another node and a timer
+# that fires late.
+DRAIN_MARGIN_S = 1.0
+
+# The number of missed heartbeats after which the platform unlists a member.
+LAPSE_HEARTBEATS = 3
 
 
 @attrs.frozen(slots=True, kw_only=True)
 class Bounds:
-    """What the platform demands, or says of itself; times are in seconds.
+    """The platform's requirements and properties; times are in seconds.
 
     Attributes:
-        drain_s: When the last statement may reach a member after it began to
-            leave.
-        configuration_s: When a configuration must be in force.
+        drain_s: How long after a member began to leave the last statement may
+            reach it.
+        configuration_s: The time within which a configuration has to take
+            effect.
         heartbeat_s: How often a member writes its entry.
-        has_teams: Whether callers belong to teams, and say so by a key.
-        limit_window_s: The span over which teams' limits are judged.
-        limit_overage: The share of a limit over it that is borne in such a
-            span.
-        limit_slack: Operations that are borne besides.
+        has_teams: Whether callers belong to teams and identify themselves with
+            a key.
+        limit_window_s: The window over which teams' limits are measured.
+        limit_overage: The tolerated excess in such a window, as a share of the
+            limit.
+        limit_slack: The number of operations that are tolerated in addition.
     """
 
     drain_s: float = 7.0
@@ -42,53 +48,60 @@
     """Tunables; all times are in seconds.
 
     Attributes:
-        probe_s: Pause between two rounds of status questions to a group. At
-            0.4 s a node costs a member 2.5 questions a second.
-        probe_timeout_s: How long a status may take. Calm members answer in
-            about 5 ms; a member five times slower still fits.
-        connect_timeout_s: How long a new connection may take; a handshake
-            costs 12 ms and a network trip 3 ms.
-        suspect_s: Silence after which a primary is suspected: two probes.
-        unanswered_s: A primary that has answered nothing of what was sent to
-            it for so long is suspected, too. Longer than a pause between
-            probes; calm members answer in 5 ms, busy ones every 40 ms.
-        opinion_s: A peer that heard the primary within this speaks for it.
-        doubt_s: A commit that took longer is proved before it counts; twice
-            what slow members take in calm.
-        stall_s: How long no replica may receive a primary's newest commit.
-        claim_valid_s: How long a claim may be acted upon by its holder.
-        claim_takeover_s: When others may take a claim over; longer than
-            `claim_valid_s` by the longest time that a call may be under way.
+        probe_s: Pause between two rounds of status requests to a group. At
+            0.4 s, each node sends a member 2.5 requests per second.
+        probe_timeout_s: Timeout of a status request. An idle member answers in
+            about 5 ms; one that is five times slower is still in time.
+        connect_timeout_s: Timeout of a new connection. A handshake takes 12 ms
+            and a network trip 3 ms.
+        suspect_s: Silence after which a primary is suspected; two probes.
+        unanswered_s: A primary that has left everything sent to it unanswered
+            for this long is suspected, too. Longer than the pause between
+            probes; idle members answer in 5 ms, busy ones every 40 ms.
+        opinion_s: A peer that heard from the primary within this time vouches
+            for it.
+        doubt_s: A commit that took longer has to be proved before it is
+            acknowledged. Twice what slow members take under normal load.
+        stall_s: How long a primary's newest commit may remain unreceived by
+            all replicas.
+        claim_valid_s: How long the holder of a claim may act on it.
+        claim_takeover_s: The age at which other nodes may take over a claim.
+            It exceeds `claim_valid_s` by the longest time that a call may be
+            in flight.
         promote_wait_s: How long to wait for a promoted member to lead; a
             promotion takes 0.6 s to 1 s.
         hold_share: The share of a route's target latency for which a request
-            may wait for a connection before it is refused. A quarter, less
-            the hop and the network: 0.05 of the shortest target is 10 ms.
+            may wait for a connection before it is refused. This is a quarter
+            less the time of the hop and the network: 0.05 of the shortest
+            target is 10 ms.
         failover_hold_share: The share of a route's time limit for which a
-            request may wait while a change of primary is under way.
+            request may wait while the primary is being changed.
         hedge_share: The share of the target latency after which a read is
-            asked at another member too.
-        transaction_reserve: Connections of a member that transactions leave
-            free for single statements and status questions.
-        connect_backoff_s: Pause after a failed connect.
-        return_grace_s: After a time without the store, members missing from
-            it are kept for this long.
-        idle_probe_s: A member that was not heard for so long is asked too.
-        isolated_s: Without peers and floors for so long, a node sends callers
-            to others. Peers are heard each 0.5 s, floors come each 0.4 s. At
-            0.9 s, callers of a data centre that was cut off came back 0.3 s
-            later.
-        watch_wait_s: How long a watch of the store waits. A silent watch goes
-            unnoticed for as long; peers tell of changes meanwhile.
-        store_timeout_s: How long a call of the store may take beyond that.
-        drain_s: For how long a member that is leaving may get statements.
-        entry_lapse_s: How long the platform lists a member that is silent:
+            also sent to another member.
+        transaction_reserve: The number of a member's connections that
+            transactions leave free for single statements and status requests.
+        connect_backoff_s: Pause after a failed connection attempt.
+        return_grace_s: How long members missing from the store are kept after
+            an outage of the store.
+        idle_probe_s: A member that has been silent for this long is probed as
+            well.
+        isolated_s: A node that has neither heard from peers nor received
+            floors for this long sends callers to other nodes. Peers send a
+            message every 0.5 s, and floors arrive every 0.4 s. With 0.9 s,
+            callers of a data centre that was cut off recovered 0.3 s later.
+        watch_wait_s: How long a watch of the store waits for changes. A watch
+            that has failed silently goes unnoticed for that long; peers report
+            changes meanwhile.
+        store_timeout_s: How much longer than that a store call may take.
+        drain_s: How long a member that is leaving may receive statements.
+        entry_lapse_s: How long the platform keeps a silent member listed;
             three heartbeats.
-        has_teams: Whether callers belong to teams, and say so by a key.
-        limit_window_s: The span over which teams' limits are judged.
-        limit_overage: The share of a limit over it that is borne in such a
-            span.
-        limit_slack: Operations that are borne besides.
+        has_teams: Whether callers belong to teams and identify themselves with
+            a key.
+        limit_window_s: The window over which teams' limits are measured.
+        limit_overage: The tolerated excess in such a window, as a share of the
+            limit.
+        limit_slack: The number of operations that are tolerated in addition.
     """
 
     probe_s: float = attrs.field(default=0.4, validator=_positive)
@@ -127,11 +140,11 @@
 
     @property
     def max_store_age_s(self) -> float:
-        """How often a watch of the store brings news, or ends without any."""
+        """The longest time between two answers of a store that is reachable."""
         return self.watch_wait_s + self.store_timeout_s
 
     def within(self, bounds: Bounds) -> "Policy":
-        """Returns the tunables that keep what the platform demands."""
+        """Returns a copy that meets the platform's requirements."""
         spare = bounds.drain_s - DRAIN_MARGIN_S
         return attrs.evolve(
             self,
--- a/packages/proxy/src/ferry_proxy/_policy_file.py
+++ b/packages/proxy/src/ferry_proxy/_policy_file.py
@@ -1,7 +1,7 @@
-"""Tunables from a file in JSON with comments.
+"""Reads tunables from a JSON file with comments.
 
-Its libraries take 30 ms of a processor to import, so a node that has no such
-file does not load this module.
+Importing the required libraries takes 30 ms of processor time, so a node
+without such a file does not load this module.
 """
 
 import pathlib
@@ -13,14 +13,14 @@
 
 
 class InvalidPolicyError(ValueError):
-    """A file of tunables holds mistakes; the message names them all."""
+    """A file of tunables is invalid; the message lists all errors."""
 
 
 def policy_from_file(path: str) -> _policy.Policy:
-    """Reads tunables.
+    """Reads tunables from a file.
 
     Raises:
-        InvalidPolicyError: The file cannot be read, or holds mistakes.
+        InvalidPolicyError: The file cannot be read or is invalid.
     """
     converter = cattrs.Converter(forbid_extra_keys=True)
     try:
--- a/packages/proxy/src/ferry_proxy/_readiness.py
+++ b/packages/proxy/src/ferry_proxy/_readiness.py
@@ -1,7 +1,7 @@
-"""Whether a node wants new sessions, decided from what it knows.
+"""Decides whether a node is ready for new sessions.
 
-Answers the balancer, which asks each node once a second and sends callers to
-those that want them.
+The load balancer checks each node once a second, and sends callers only to
+nodes that are ready.
 """
 
 import enum
@@ -10,7 +10,7 @@
 
 
 class Unready(enum.Enum):
-    """Why a node wants no new sessions."""
+    """Why a node is not ready for new sessions."""
 
     STOPPING = "stopping"
     NO_CONFIGURATION = "no configuration yet"
@@ -21,13 +21,14 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class ReadinessInputs:
-    """What decides.
+    """The conditions that readiness depends on.
 
     Attributes:
-        is_stopping: Whether the node is about to end.
-        has_configuration: Whether routes are known.
-        awaits_peers: Whether peers may know a newer configuration.
-        is_cut_off: Whether callers are better off elsewhere.
+        is_stopping: Whether the node is shutting down.
+        has_configuration: Whether it has a configuration, and so knows routes.
+        awaits_peers: Whether peers may still report a newer configuration.
+        is_cut_off: Whether other nodes can serve callers better because this
+            one is isolated.
         knows_primary: Whether a primary is known, here or at a serving node.
     """
 
@@ -38,14 +39,14 @@
     knows_primary: bool
 
 
-def unready_reason(standing: ReadinessInputs) -> Unready | None:
-    """Returns why a node wants no new sessions; None if it does."""
-    if standing.is_stopping:
+def unready_reason(inputs: ReadinessInputs) -> Unready | None:
+    """Returns why a node is not ready for new sessions; None if it is."""
+    if inputs.is_stopping:
         return Unready.STOPPING
-    if not standing.has_configuration:
+    if not inputs.has_configuration:
         return Unready.NO_CONFIGURATION
-    if standing.awaits_peers:
+    if inputs.awaits_peers:
         return Unready.AWAITING_PEERS
-    if standing.is_cut_off:
+    if inputs.is_cut_off:
         return Unready.CUT_OFF
-    return None if standing.knows_primary else Unready.NO_PRIMARY
+    return None if inputs.knows_primary else Unready.NO_PRIMARY
--- a/packages/proxy/src/ferry_proxy/_records.py
+++ b/packages/proxy/src/ferry_proxy/_records.py
@@ -1,4 +1,4 @@
-"""What this project itself keeps in the store: nodes, and claims."""
+"""The proxy's own records in the store: nodes and claims."""
 
 import json
 import math
@@ -10,16 +10,20 @@
 NODE_PREFIX = "ferry/nodes/"
 CLAIM_PREFIX = "ferry/claims/"
 MAX_PORT = 65_535
-TOKENS_PER_ERA = 1_000_000  # One a second for eleven days.
-MAX_SHOWN = 40  # Characters of a parser's words that a message repeats.
+
+# Fencing tokens that each era has room for: one a second for eleven days.
+TOKENS_PER_ERA = 1_000_000
+
+# How many characters of a JSON parser's message an error repeats.
+MAX_PARSER_DETAIL_CHARS = 40
 
 
 def claim_key(era: int, service: str) -> str:
     """Returns the store's key of a group's claim.
 
-    Each era of the store has a key of its own: a conditional write that was
-    sent in an earlier one would meet its number again in a key that lives on,
-    and take a later claim away.
+    Each era of the store has its own key. If claims kept the same key, a
+    delayed conditional write of an earlier era could find its revision number
+    in use again and overwrite a later claim.
     """
     prefix = f"{CLAIM_PREFIX}{era}/" if era else CLAIM_PREFIX
     return prefix + service
@@ -27,10 +31,10 @@
 
 @attrs.frozen(slots=True)
 class ClaimKey:
-    """What a claim's key says.
+    """The parts of a claim's key.
 
     Attributes:
-        era: The era of the store that the claim is of.
+        era: The era of the store that the claim belongs to.
         service: The group.
     """
 
@@ -39,7 +43,7 @@
 
 
 def parse_claim_key(key: str) -> ClaimKey:
-    """Reads a claim's key; one without an era is of era 0."""
+    """Parses a claim's key; a key without an era belongs to era 0."""
     rest = key.removeprefix(CLAIM_PREFIX)
     era, _, service = rest.partition("/")
     if service and era.isascii() and era.isdigit():
@@ -50,29 +54,30 @@
 def first_token(era: int) -> int:
     """Returns the fencing token of the first claim of an era.
 
-    It is above all of earlier eras, whose claims the store may have lost.
+    It is greater than all tokens of earlier eras, whose claims the store may
+    have lost.
     """
     return era * TOKENS_PER_ERA + 1
 
 
 class InvalidItemError(ValueError):
-    """An item of the store does not hold what its key says."""
+    """An item's value is not valid for its key."""
 
 
 def json_object(value: bytes, where: str) -> dict[str, typing.Any]:
-    """Reads a JSON object, whoever wrote it.
+    """Parses a JSON object from an untrusted source.
 
     Args:
-        value: Its bytes.
-        where: What it is, for messages.
+        value: The encoded object.
+        where: A description of the object, for error messages.
 
     Raises:
-        InvalidItemError: The bytes are none.
+        InvalidItemError: The bytes are not a JSON object.
     """
     try:
         raw = json.loads(value)
     except (ValueError, RecursionError) as exc:
-        detail = str(exc)[:MAX_SHOWN]
+        detail = str(exc)[:MAX_PARSER_DETAIL_CHARS]
         raise InvalidItemError(f"{where}: not JSON: {detail}") from exc
     if not isinstance(raw, dict):
         raise InvalidItemError(f"{where}: no object")
@@ -84,13 +89,13 @@
     """A node of the proxy.
 
     Attributes:
-        name: Its name.
-        host: Its IP number.
+        name: The node's name.
+        host: Its IP address.
         port: The port that its peers connect to.
-        data_centre: Where it runs.
-        cores: Processor time that it gets, in seconds a second; 0 where the
-            entry does not tell.
-        link_mbps: What its network link carries, in Mbit/s; 0 likewise.
+        data_centre: The data centre that it runs in.
+        cores: The processor time available to it, in seconds per second; 0 if
+            unknown.
+        link_mbps: The capacity of its network link, in Mbit/s; 0 if unknown.
     """
 
     name: str
@@ -103,15 +108,15 @@
     def encode(self) -> bytes:
         """Returns the entry's value in the store."""
         fields = attrs.asdict(self)
-        del fields["name"]  # It is the key.
+        del fields["name"]  # The key contains it.
         return json.dumps(fields).encode()
 
     @classmethod
     def decode(cls, name: str, value: bytes) -> "NodeEntry":
-        """Reads an entry.
+        """Decodes the entry of the node with this name.
 
         Raises:
-            InvalidItemError: It is malformed.
+            InvalidItemError: The entry is malformed.
         """
         raw = json_object(value, f"node {name}")
         host, port = raw.get("host"), raw.get("port")
@@ -126,10 +131,10 @@
 
 
 def _size(raw: dict[str, typing.Any], field: str, node: str) -> float:
-    """Reads how much of something a node has; 0 where it is not told.
+    """Reads the size of one of a node's resources; 0 if it is missing.
 
     Raises:
-        InvalidItemError: It is no size.
+        InvalidItemError: The value is not a finite, non-negative number.
     """
     value = raw.get(field, 0.0)
     if type(value) not in (int, float) or not 0 <= value < math.inf:
@@ -139,10 +144,10 @@
 
 @attrs.frozen(slots=True)
 class Claim:
-    """The right of one node to change a group's primary.
+    """The exclusive right of one node to change a group's primary.
 
     Attributes:
-        holder: The node.
+        holder: The name of the node.
         token: The fencing token; it grows with each claim.
         done: Whether the change has ended.
     """
@@ -157,10 +162,10 @@
 
     @classmethod
     def decode(cls, service: str, value: bytes) -> "Claim":
-        """Reads a claim.
+        """Decodes the claim for a service.
 
         Raises:
-            InvalidItemError: It is malformed.
+            InvalidItemError: The claim is malformed.
         """
         raw = json_object(value, f"claim {service}")
         holder, token = raw.get("holder"), raw.get("token")
@@ -174,7 +179,13 @@
 
 @attrs.frozen(slots=True)
 class HeldClaim:
-    """A claim as it lies in the store, and since when this node knows it."""
+    """A claim that is stored, and when this node learned of it.
+
+    Attributes:
+        claim: The claim.
+        revision: The store's revision of its item.
+        seen_at: When this node learned of it, in boot time.
+    """
 
     claim: Claim
     revision: decisions.Revision
--- a/packages/proxy/src/ferry_proxy/_registrar.py
+++ b/packages/proxy/src/ferry_proxy/_registrar.py
@@ -1,4 +1,4 @@
-"""A node's own entry in the store, and what it has missed from it."""
+"""Registers a node in the store, and fetches from peers what it has missed."""
 
 from collections.abc import Sequence
 import random
@@ -16,34 +16,48 @@
 from ferry_proxy import _records
 from ferry_proxy import _store
 
-SILENT_S = 0.4  # A peer that owes a copy and sends nothing for so long is
-# passed over. A copy may take long, on narrow links; one that was given up
-# after a fixed time was sent again whole, for ever: 429 KB each 0.4 s.
-LOOK_S = 0.1
-SPREAD_S = 1.0  # 410 writes: below what a store takes a second; others miss a
-# node later.
-PATIENCE_S = 0.4  # A change comes from the store within a round trip.
-PEER_NEWS_WAIT_S = (
-    1.0  # After its first reading a node reaches its peers in half.
-)
-STORE_READ_AFTER_S = 1.0  # Behind for so long, a node reads the store itself: a
-# third of the shortest time in which a configuration must be in force.
+# A peer that has been asked for a copy and sends nothing for this long is
+# abandoned. The limit is on silence, not on the whole transfer, since a copy
+# may take long on a narrow link: with a fixed limit it was abandoned and sent
+# again in full without end, 429 KB every 0.4 s.
+PEER_SILENCE_LIMIT_S = 0.4
+
+# How often the silence of a peer is checked.
+POLL_INTERVAL_S = 0.1
+
+# The period over which nodes whose entries were lost register again. 410 writes
+# in this time are fewer than a store can handle, and other nodes keep a node
+# whose entry is missing for longer than this.
+REGISTRATION_SPREAD_S = 1.0
+
+# How long a node that watches the store waits for a change from the store
+# before it asks a peer. The store delivers a change within a round trip.
+STORE_CHANGE_WAIT_S = 0.4
+
+# How long a new node waits for the configuration version of its peers after it
+# has first read the store; it connects to them in half of this time.
+PEER_NEWS_WAIT_S = 1.0
+
+# A node that has been behind its peers for this long reads the store itself.
+# This is a third of the shortest time within which a configuration has to take
+# effect.
+STORE_READ_AFTER_S = 1.0
 
 
 class PeerInfo(_peers.Peer, typing.Protocol):
-    """A stream to a peer, and what it knows."""
+    """A stream to a peer, and the state of the peer's copy of the store."""
 
     @property
     def covered(self) -> decisions.Revision:
-        """The newest change in the peer's copy of the store."""
+        """The revision of the newest change in the peer's copy."""
 
     @property
     def version(self) -> int:
-        """The version of the configuration that the peer has; 0 for none."""
+        """The version of the peer's configuration; 0 for none."""
 
     @property
     def owed_s(self) -> float:
-        """Seconds since the peer was heard, while it owes an answer."""
+        """Seconds since the peer was last heard, while it owes a reply."""
 
 
 class PeerInfoSource(typing.Protocol):
@@ -55,7 +69,7 @@
 
 
 class Registrar:
-    """Keeps a node listed, and its catalogue up to date through peers."""
+    """Keeps a node registered, and its catalogue up to date through peers."""
 
     def __init__(
         self,
@@ -72,9 +86,11 @@
         self._catalogue = catalogue
         self._follower = follower
         self._mesh = mesh
-        self._delay_s = SPREAD_S * decisions.spread_share("entry", own.name)
-        self._registering = False
-        self._asking = False
+        self._delay_s = REGISTRATION_SPREAD_S * decisions.spread_share(
+            "entry", own.name
+        )
+        self._is_registering = False
+        self._is_fetching = False
         self._sources = _copy_sources.CopySources(
             clock, random.Random(own.name)
         )
@@ -82,27 +98,28 @@
 
     @property
     def awaits_peers(self) -> bool:
-        """Whether peers may yet tell of a newer configuration than the store.
+        """Whether peers may still report a newer configuration than the store.
 
-        A store that came back from a copy holds an older one until the
-        operator has written it again; a node that has just started would
-        refuse callers of routes that all others serve.
+        A store restored from a backup holds an older configuration until the
+        operator has written the newer one again. A node that has just started
+        would refuse callers of routes that all other nodes serve.
         """
         catalogue = self._catalogue
-        first = catalogue.first_reading
+        first = catalogue.first_snapshot
         if first is None:
             return False
         is_new = self._clock.now() - first.read_at < PEER_NEWS_WAIT_S
         may_be_old = catalogue.revision.era > 0 and len(catalogue.nodes) > 1
-        told = max((s.version for s in self._mesh.streams), default=0)
-        is_told = 0 < told <= catalogue.version
-        return is_new and may_be_old and not is_told
+        newest = max((s.version for s in self._mesh.streams), default=0)
+        is_confirmed = 0 < newest <= catalogue.version
+        return is_new and may_be_old and not is_confirmed
 
     def update(self) -> None:
-        """Looks after this node's entry, and after what it has missed.
+        """Registers this node if needed, and fetches changes it has missed.
 
-        A node that watches the store asks peers only where the change does
-        not come: the watch is silent, or the store turns this node away.
+        A node that watches the store asks peers only if a change does not
+        arrive from the store, because the watch is silent or the store rejects
+        this node.
         """
         self._follower.check()
         if self._follower.is_connected and self._catalogue.is_read:
@@ -110,20 +127,20 @@
         ahead = [s for s in self._mesh.streams if self._is_ahead(s)]
         if not ahead:
             self._behind_since = None
-            self._sources.forget()
+            self._sources.reset()
             return
         now = self._clock.now()
         if self._behind_since is None:
             self._behind_since = now
         behind_s = now - self._behind_since
-        patience = PATIENCE_S if self._may_come(ahead) else 0.0
-        if behind_s >= patience and not self._asking:
-            self._ask(ahead)
+        wait_s = STORE_CHANGE_WAIT_S if self._is_expected(ahead) else 0.0
+        if behind_s >= wait_s and not self._is_fetching:
+            self._start_fetch(ahead)
         if behind_s >= STORE_READ_AFTER_S:
             self._follower.request_store_read()
 
-    def _may_come(self, ahead: Sequence[PeerInfo]) -> bool:
-        """Whether what peers know may soon come from the store itself."""
+    def _is_expected(self, ahead: Sequence[PeerInfo]) -> bool:
+        """Whether the store itself may soon deliver what peers know."""
         is_written = any(self._has_change(s) for s in ahead)
         return is_written and self._follower.is_watching
 
@@ -131,36 +148,36 @@
         return stream.covered > self._catalogue.covered
 
     def _is_ahead(self, stream: PeerInfo) -> bool:
-        """Whether a peer knows what this node does not."""
+        """Whether a peer has a newer configuration or newer changes."""
         is_newer = stream.version > self._catalogue.version
         return is_newer or self._has_change(stream)
 
-    def _ask(self, ahead: Sequence[PeerInfo]) -> None:
-        """Asks one of the peers that know more for its copy."""
+    def _start_fetch(self, ahead: Sequence[PeerInfo]) -> None:
+        """Asks one of the peers that are ahead for what this node lacks."""
         near = [s for s in ahead if self._is_near(s)]
         far = [s for s in ahead if not self._is_near(s)]
         stream = self._sources.choose(near, far)
         if stream is not None:
-            self._asking = True
-            decisions.start(self._copy(stream))
+            self._is_fetching = True
+            decisions.start(self._fetch(stream))
 
     def _is_near(self, stream: PeerInfo) -> bool:
         node = self._catalogue.nodes.get(stream.peer)
         return node is not None and node.data_centre == self._own.data_centre
 
-    def _copy(self, stream: PeerInfo) -> "decisions.Flow[None]":
-        """Asks a peer for what is lacking, for as long as it shows life."""
-        question = _peer_messages.SyncRequest.of(self._catalogue)
-        fut = stream.call(question)
+    def _fetch(self, stream: PeerInfo) -> "decisions.Flow[None]":
+        """Fetches missing changes from a peer while the peer is responsive."""
+        request = _peer_messages.SyncRequest.of(self._catalogue)
+        fut = stream.call(request)
         try:
             while not fut.done():
-                if stream.owed_s >= SILENT_S:
+                if stream.owed_s >= PEER_SILENCE_LIMIT_S:
                     raise _peers.PeerLostError(f"{stream.peer} is silent")
-                pause = decisions.sleep(self._clock, LOOK_S)
+                pause = decisions.sleep(self._clock, POLL_INTERVAL_S)
                 yield decisions.either(decisions.settled(fut), pause)
             reply = fut.result()
             if isinstance(reply, _peer_messages.SyncReply):
-                self._take(reply.batch, stream.peer)
+                self._merge(reply.batch, stream.peer)
         except (
             _peers.PeerLostError,
             _peer_messages.PeerProtocolError,
@@ -168,10 +185,10 @@
             self._sources.note_failure(stream.peer)
             _events.emit(_events.DependencyLost("peer's copy", str(exc)))
         finally:
-            self._asking = False
+            self._is_fetching = False
 
-    def _take(self, batch: _catalogue.Batch, peer: str) -> None:
-        """Merges a peer's copy in, and notes whether it brought anything."""
+    def _merge(self, batch: _catalogue.Batch, peer: str) -> None:
+        """Merges a peer's changes, and records whether any were new."""
         known = self._catalogue.covered, self._catalogue.version
         self._catalogue.merge_batch(batch, "peer")
         if (self._catalogue.covered, self._catalogue.version) == known:
@@ -181,26 +198,29 @@
         self._behind_since = None
 
     def _register(self) -> None:
-        """Puts this node's entry into the store where it is missing.
+        """Writes this node's entry to the store if it is missing there.
 
-        Entries that a copy of the store lacks are missing for many nodes at
-        one moment; each waits for a part of a while that is its own.
+        A restored store may lack the entries of many nodes at once. Each node
+        waits for its own share of `REGISTRATION_SPREAD_S`, so that they do not
+        all write at the same moment.
         """
         key = _records.NODE_PREFIX + self._own.name
         known = self._catalogue.nodes.get(self._own.name)
         is_listed = self._catalogue.item(key) is not None and known == self._own
-        if is_listed or self._registering:
+        if is_listed or self._is_registering:
             return
         if self._catalogue.grace.elapsed_s < self._delay_s:
             return
-        self._registering = True
+        self._is_registering = True
         fut = self._store.put_if(
             key, self._own.encode(), self._catalogue.condition(key)
         )
-        fut.add_done_callback(self._registered)
+        fut.add_done_callback(self._on_registered)
 
-    def _registered(self, fut: "decisions.Future[_store.Item | None]") -> None:
-        self._registering = False
+    def _on_registered(
+        self, fut: "decisions.Future[_store.Item | None]"
+    ) -> None:
+        self._is_registering = False
         exc = fut.exception()
         if exc is not None:
             _events.emit(_events.DependencyLost("store", str(exc)))
--- a/packages/proxy/src/ferry_proxy/_roster.py
+++ b/packages/proxy/src/ferry_proxy/_roster.py
@@ -1,9 +1,9 @@
-"""Which nodes count, while many come at once.
+"""The list of nodes that a node acts on, updated in batches.
 
-Answers the start of a fleet: 195 nodes list themselves within 0.3 s, and each
-that saw the list grow one by one connected to its neighbours of that moment,
-356 connections a node, two thirds of the bytes between data centres of the
-first 15 s. A list that changes is taken over after a pause, as a whole.
+When a fleet starts, 195 nodes register within 0.3 s. A node that saw the list
+grow one by one connected to its neighbours of each moment: 356 connections per
+node, and two thirds of the bytes between data centres in the first 15 s. A
+changed list is therefore adopted as a whole after a pause.
 """
 
 import ferry_decisions as decisions
@@ -11,17 +11,21 @@
 from ferry_proxy import _catalogue
 from ferry_proxy import _records
 
-GATHER_S = 0.4  # A fleet lists itself within 0.3 s; reading it takes the rest.
-SETTLE_S = 0.5  # Between two changes: callers of a node that came or went wait
-# for streams no longer than they do for signs of its silence.
+# The delay before a new node adopts its first list: a fleet registers within
+# 0.3 s, and the rest is for reading the list.
+FIRST_DELAY_S = 0.4
+
+# The pause between two changes. Callers of a node that joined or left wait for
+# streams no longer than it takes to detect that a node is silent.
+MIN_UPDATE_INTERVAL_S = 0.5
 
 
 class Roster:
-    """The nodes by which a node chooses its peers and who serves.
+    """The nodes among which a node chooses its peers and the serving nodes.
 
     Attributes:
         nodes: The nodes by name.
-        is_known: Whether a list was taken over yet, be it empty.
+        is_known: Whether a list, even an empty one, has been adopted.
     """
 
     def __init__(
@@ -30,11 +34,11 @@
         catalogue: _catalogue.Catalogue,
         own: str,
     ) -> None:
-        """Makes an empty roster.
+        """Creates an empty roster.
 
         Args:
             clock: The clock.
-            catalogue: The copy of the store, with the nodes that are listed.
+            catalogue: The copy of the store, with the registered nodes.
             own: This node's name.
         """
         self._clock = clock
@@ -45,10 +49,10 @@
         self.is_known = False
 
     def update(self) -> bool:
-        """Takes over what is listed now; returns whether that is a change.
+        """Adopts the current list if it is due; returns whether it changed.
 
-        A node that finds itself listed was started again in a fleet that
-        stands: its first list is whole.
+        A node that is listed already has been restarted in a running fleet, so
+        its first list is complete and is adopted at once.
         """
         listed = self._catalogue.nodes
         if not self._catalogue.is_read:
@@ -58,10 +62,10 @@
         now = self._clock.now()
         if self._next_at is None:
             is_new = self._own not in listed
-            self._next_at = now + (GATHER_S if is_new else 0.0)
+            self._next_at = now + (FIRST_DELAY_S if is_new else 0.0)
         if now < self._next_at:
             return False
-        self._next_at = now + SETTLE_S
+        self._next_at = now + MIN_UPDATE_INTERVAL_S
         self.nodes = dict(listed)
         self.is_known = True
         return True
--- a/packages/proxy/src/ferry_proxy/_store.py
+++ b/packages/proxy/src/ferry_proxy/_store.py
@@ -1,4 +1,4 @@
-"""What the proxy needs of the platform's key-value store."""
+"""Interfaces that the proxy requires of the platform's key-value store."""
 
 import typing
 
@@ -7,24 +7,24 @@
 
 
 class StoreUnavailableError(Exception):
-    """The store gave no answer; a change may take effect all the same."""
+    """The store did not answer; a write may still take effect."""
 
 
 class HistoryLostError(Exception):
-    """The store does not have the changes that were asked for.
+    """The store no longer has the requested changes.
 
-    It has dropped them, or it came back from a copy that was made before.
+    It has compacted them, or it was restored from a backup taken before them.
     """
 
 
 @attrs.frozen(slots=True)
 class Item:
-    """A key and what it holds.
+    """A key with its value, or the deletion of a key.
 
     Attributes:
         key: The key.
-        value: The bytes; None once the key is deleted.
-        revision: The store's revision at the change.
+        value: The value's bytes; None if the key has been deleted.
+        revision: The store's revision at which the key last changed.
     """
 
     key: str
@@ -34,11 +34,11 @@
 
 @attrs.frozen(slots=True)
 class Changes:
-    """Items, and the revision that they lead up to.
+    """Items, and the store's revision that they are complete up to.
 
     Attributes:
-        items: The items, or what changed.
-        revision: The store's revision; all items are of its era.
+        items: All items of a listing, or only those that changed.
+        revision: The store's revision; all items belong to its era.
     """
 
     items: tuple[Item, ...]
@@ -48,49 +48,50 @@
 class Store(typing.Protocol):
     """A linearizable store with revisions.
 
-    Each call fails with `StoreUnavailableError` without an answer. A change
-    whose answer is of another era than its condition counts as unanswered: the
-    condition was meant for a history that is gone.
+    Every call fails with `StoreUnavailableError` if it gets no answer. A write
+    whose answer belongs to another era than its condition also counts as
+    unanswered, because the condition refers to a history that no longer exists.
     """
 
     def list(self, prefix: str) -> "decisions.Future[Changes]":
-        """Reads all items whose keys begin with `prefix`."""
+        """Returns all items whose keys start with `prefix`."""
 
     def changes(
         self, prefix: str, after: decisions.Revision, wait_s: float
     ) -> "decisions.Future[Changes]":
-        """Waits for changes after a revision; none in time is an answer.
+        """Waits for changes made after a revision.
 
-        Fails with `HistoryLostError` where the store does not have them.
+        The result is empty if none arrive within `wait_s`. Fails with
+        `HistoryLostError` if the store no longer has the changes.
         """
 
     def put_if(
         self, key: str, value: bytes, revision: decisions.Revision
     ) -> "decisions.Future[Item | None]":
-        """Writes a key that still has `revision`; number 0 for a new key.
+        """Writes a key if it still has `revision`; number 0 means a new key.
 
-        The result is None where it has another.
+        The result is None if the key has another revision.
         """
 
     def remove_if(
         self, key: str, revision: decisions.Revision
     ) -> "decisions.Future[bool]":
-        """Deletes a key that still has `revision`.
+        """Deletes a key if it still has `revision`.
 
-        The result is False where it has another.
+        The result is False if the key has another revision.
         """
 
 
 class Promotions(typing.Protocol):
-    """The platform's call that makes a member the primary."""
+    """The platform's interface for promoting a member to primary."""
 
     def promote(
         self, service: str, member: str, holder: str, token: int
     ) -> "decisions.Future[None]":
-        """Orders a promotion under a fencing token.
+        """Requests a promotion under a fencing token.
 
-        Fails with `PromotionRefusedError` where it was refused, and with
-        `StoreUnavailableError` where it may have been taken.
+        Fails with `PromotionRefusedError` if the platform refused it, and with
+        `StoreUnavailableError` if it may have been accepted.
         """
 
 
--- a/packages/proxy/src/ferry_proxy/tests/test_currency.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_currency.py
@@ -72,7 +72,7 @@
 
 def test_the_doubt_ends_if_nobody_writes(lab):
     found = currency(lab.reader, lab.clock)
-    lab.clock.advance(_currency.COPY_DOUBT_S)
+    lab.clock.advance(_currency.RESTORE_DOUBT_S)
     assert doubt(found) is None
 
 
