--- a/packages/proxy/src/ferry_proxy/_catalogue.py
+++ b/packages/proxy/src/ferry_proxy/_catalogue.py
@@ -32,7 +32,7 @@
     Attributes:
         configuration_key: The key of the operators' configuration.
         member_prefix: The prefix of the keys of members' entries.
-        decode_configuration: Raises `InvalidItemError` if it is invalid.
+        decode_configuration: Raises `InvalidItemError` for an invalid value.
         decode_member: Likewise, for a member's id and entry.
     """
 
--- a/packages/proxy/src/ferry_proxy/_member_entries.py
+++ b/packages/proxy/src/ferry_proxy/_member_entries.py
@@ -70,7 +70,7 @@
         may_be_old = is_first and _may_be_outdated(
             item, self._accepted.get(name)
         )
-        if may_be_old and not self._is_news(name, member):
+        if may_be_old and not self._is_newer(name, member):
             # A restored store may list a member as ready that has started to
             # leave since. Applied at once, such an entry caused statements to
             # reach the member, until it wrote again, later than is allowed.
@@ -97,7 +97,7 @@
         before, self._eras[name] = self._eras.get(name, era), era
         return before != era
 
-    def _is_news(self, name: str, member: _members.Member) -> bool:
+    def _is_newer(self, name: str, member: _members.Member) -> bool:
         """Whether an entry has a higher sequence number than the known one."""
         known = self.members.get(name)
         return known is not None and member.sequence > known.sequence
--- a/packages/proxy/src/ferry_proxy/tests/test_contact.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_contact.py
@@ -1,4 +1,4 @@
-"""The evidence on whether a member lives, and what rests on it."""
+"""The evidence on whether a member is alive, and the decisions based on it."""
 
 import ferry_decisions as decisions
 import pytest
@@ -17,15 +17,16 @@
     [
         (0.01, ["ask", 0.1], False),
         (0.01, ["ask", 0.2], True),
-        (0.01, ["ask", 0.1, "hear", 5.0], False),  # Nobody asked since.
+        (0.01, ["ask", 0.1, "hear", 5.0], False),  # Nothing was sent since.
         (0.01, ["ask", 0.1, "hear", "ask", 0.1], False),
-        (0.01, ["ask", 0.1, "ask", 0.1], True),  # The first one counts.
-        (0.1, ["ask", 0.3], False),  # Slow members take their time.
+        (0.01, ["ask", 0.1, "ask", 0.1], True),  # The first message counts.
+        (0.1, ["ask", 0.3], False),  # Slow members may take longer.
         (0.1, ["ask", 0.5], True),
-        (0.01, ["ask", 0.5, "forgive", 0.0], False),  # This process stood.
+        # The process itself was paused for 0.5 s.
+        (0.01, ["ask", 0.5, "exclude_pause", 0.0], False),
     ],
 )
-def test_quiet(latency_s, steps, expected):
+def test_unresponsive(latency_s, steps, expected):
     clock = Clock()
     contact = _contact.Contact(clock)
     contact.latency_s = latency_s
@@ -34,28 +35,29 @@
             contact.note_asked()
         elif step == "hear":
             contact.note_heard()
-        elif step == "forgive":
+        elif step == "exclude_pause":
             contact.exclude_pause(0.5)
         else:
             clock.advance(step)
     assert contact.is_unresponsive is expected
 
 
-def primary_falls_dark(lab):
+def make_primary_unresponsive(lab):
+    """Writes once, silences the primary, and returns the time of that."""
     lab.do(lab.session(), fakes.statement("WRITE x 1"))
     lab.cluster.members["a"].dark = True
     return lab.clock.now()
 
 
-def test_a_dark_primary_is_replaced_a_second_after_it_fell():
-    """1.0 s with a promotion of 0.6 s; 1.5 s while only silence counted."""
+def test_a_silent_primary_is_replaced_after_a_second():
+    """Takes 1.0 s with a promotion of 0.6 s; 1.5 s if only silence counted."""
     lab = fakes.Lab()
     lab.add_promoter()
-    fell = primary_falls_dark(lab)
+    silent_at = make_primary_unresponsive(lab)
     while lab.group.leader is None or lab.group.leader.member == "a":
         lab.session().run(fakes.statement("WRITE x 1"))
         lab.run(0.02)
-    assert lab.clock.now() - fell < 1.3
+    assert lab.clock.now() - silent_at < 1.3
     assert lab.cluster.lost == []
 
 
@@ -65,9 +67,9 @@
     monkeypatch.setattr(fakes, "PROMOTE_S", 0.3)
     lab = fakes.Lab()
     lab.add_promoter()
-    fell = primary_falls_dark(lab)
+    silent_at = make_primary_unresponsive(lab)
     futs = []
-    while lab.clock.now() - fell < 0.9:
+    while lab.clock.now() - silent_at < 0.9:
         is_changing = lab.group.is_changing
         fut = lab.session().run(fakes.statement("WRITE x 1"))
         if is_changing:
@@ -76,17 +78,17 @@
     lab.run(1.5)
     reasons = [f.result().reason for f in futs]
     assert len(futs) > 15
-    # Who came last waits behind all others, for no longer than usual.
+    # The last request queues behind all others, for no longer than usual.
     assert reasons.count(None) >= len(futs) - 1
 
 
 def test_what_waited_for_a_change_is_not_refused_at_its_end(monkeypatch):
-    """It has the usual time for a link, counted from the change's end."""
+    """A request has the usual time to get a link, from the change's end on."""
     monkeypatch.setattr(fakes, "PROMOTE_S", 0.3)
     lab = fakes.Lab(limit=1)
     lab.add_promoter()
-    fell = primary_falls_dark(lab)
-    while lab.clock.now() - fell < 0.6:
+    silent_at = make_primary_unresponsive(lab)
+    while lab.clock.now() - silent_at < 0.6:
         lab.run(0.02)
     futs = [lab.session().run(fakes.statement("WRITE x 1")) for _ in range(3)]
     lab.run(2.0)
@@ -94,11 +96,11 @@
 
 
 def test_nobody_waits_for_a_change_that_does_not_come():
-    """While the store is away, a dark primary is not replaced."""
+    """A silent primary is not replaced while the store is unavailable."""
     lab = fakes.Lab()
     lab.add_promoter()
     lab.store.down = True
-    primary_falls_dark(lab)
+    make_primary_unresponsive(lab)
     lab.run(4.0)
     assert not lab.group.is_changing
     begun = lab.clock.now()
@@ -121,7 +123,7 @@
 
 
 def test_a_commit_is_waited_for():
-    """Whether it ran is not known: only its own answer tells in time."""
+    """Whether it ran is unknown; only its own answer tells in time."""
     lab = fakes.Lab()
     session = lab.session()
     lab.do(session, fakes.statement("BEGIN"))
@@ -139,7 +141,7 @@
     session = lab.session()
     lab.do(session, fakes.statement("BEGIN"))
     lab.do(session, fakes.statement("WRITE x 1"))
-    primary_falls_dark(lab)
+    make_primary_unresponsive(lab)
     lab.run(3.0)
     assert lab.group.leader is not None and lab.group.leader.member != "a"
     answer = lab.do(session, fakes.statement("COMMIT"))
--- a/packages/proxy/src/ferry_proxy/tests/test_copy_sizes.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_copy_sizes.py
@@ -1,7 +1,7 @@
-"""Bytes that a changed configuration takes between two nodes.
+"""The number of bytes that a changed configuration takes between two nodes.
 
-Whole documents travel, compressed: what differs alone would take some hundred
-bytes at any size.
+The whole document is sent, compressed. A difference alone would take some
+hundred bytes whatever the size of the document.
 """
 
 import json
@@ -13,13 +13,19 @@
 from ferry_proxy import _store
 from ferry_proxy.tests import fakes
 
-LINK_BYTES_PER_S = 10e6 / 8  # The narrowest links of 10 Mbit/s.
-BOUND_S = 6.0  # In which a configuration must be in force.
-COPIES = 9  # One reader of three sends so many in a data centre of 30 nodes.
+# The narrowest links carry 10 Mbit/s.
+LINK_BYTES_PER_S = 10e6 / 8
+
+# The time within which a configuration has to take effect.
+BOUND_S = 6.0
+
+# How many copies each of the three nodes that watch the store sends in a data
+# centre of 30 nodes.
+COPIES = 9
 
 
 def document(routes: int) -> bytes:
-    """Returns a configuration of so many routes, none like another."""
+    """Returns a configuration of this many routes, all different."""
     rows = [
         {
             "name": f"r-{number * 7919 % 104_729:x}",
@@ -35,8 +41,8 @@
     return json.dumps({"version": 1, "routes": rows}).encode()
 
 
-def sent(routes: int) -> int:
-    """Returns the bytes of a copy that holds a changed configuration."""
+def sync_reply_bytes(routes: int) -> int:
+    """Returns the size of a reply that contains a changed configuration."""
     revision = fakes.at(7)
     item = _store.Item("config", document(routes), revision)
     batch = _catalogue.Batch((item,), revision, revision, False)
@@ -44,14 +50,14 @@
 
 
 @pytest.mark.parametrize(
-    ("routes", "most"),
+    ("routes", "max_bytes"),
     [(30, 1_000), (1_400, 30_000), (10_000, 200_000)],
 )
-def test_bytes_of_a_change(routes, most):
-    assert sent(routes) <= most
+def test_bytes_of_a_change(routes, max_bytes):
+    assert sync_reply_bytes(routes) <= max_bytes
 
 
 @pytest.mark.parametrize("routes", [1_400, 2_000])
 def test_copies_for_a_data_centre_pass_a_narrow_link_in_time(routes):
-    seconds = COPIES * sent(routes) / LINK_BYTES_PER_S
+    seconds = COPIES * sync_reply_bytes(routes) / LINK_BYTES_PER_S
     assert seconds <= BOUND_S / 2
--- a/packages/proxy/src/ferry_proxy/tests/test_currency.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_currency.py
@@ -1,4 +1,4 @@
-"""How current a configuration is, after a store came back from a copy."""
+"""Whether a configuration counts as outdated, also after a restored store."""
 
 import math
 
@@ -15,7 +15,7 @@
 
 @attrs.define
 class Mesh:
-    """Peers by the versions that they tell."""
+    """Connected peers that report these configuration versions."""
 
     versions: list[int]
 
@@ -102,7 +102,7 @@
 
 @attrs.define
 class SuspendedClock:
-    """A clock whose steady time stands still while its machine does."""
+    """A clock whose monotonic time stops while its machine is suspended."""
 
     lab: test_followers.Lab
     suspended_s: float = 0.0
--- a/packages/proxy/src/ferry_proxy/tests/test_followers.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_followers.py
@@ -1,4 +1,4 @@
-"""The copies of the store: one node watches, another learns from it."""
+"""Copies of the store: one node watches the store, others learn from peers."""
 
 import attrs
 import ferry_decisions as decisions
@@ -25,7 +25,18 @@
 
 @attrs.define(eq=False)
 class FakeStream:
-    """A stream to a peer that has a copy of its own."""
+    """A stream to a peer that has its own copy of the store.
+
+    Attributes:
+        peer: The name of the peer.
+        theirs: The peer's copy.
+        store_seen: When the store last answered the peer.
+        silence_s: How long the peer has been silent.
+        owed_s: How long the peer has been silent while it owes a reply.
+        calls: The number of calls so far.
+        delay_s: The time until a call is answered.
+        withholds: Whether replies contain no changes.
+    """
 
     peer: str
     theirs: _catalogue.Catalogue
@@ -60,11 +71,11 @@
         return fut
 
     def tell(self, body) -> None:
-        raise AssertionError(f"not awaited here: {body}")
+        raise AssertionError(f"unexpected message: {body}")
 
 
 class Node:
-    """A copy of the store with what keeps it up to date."""
+    """A copy of the store with the parts that keep it up to date."""
 
     def __init__(self, lab: "Lab | StartLab", name: str) -> None:
         self._lab = lab
@@ -90,18 +101,23 @@
 
 
 class CountingStore:
-    """The store as one node reaches it."""
+    """One node's access to the store, which records calls.
+
+    Attributes:
+        calls: The names of the called methods, in order.
+        rejects_calls: Whether the store rejects this node's calls.
+    """
 
     def __init__(self, store: fakes.FakeStore) -> None:
         self._store = store
         self.calls: list[str] = []
-        self.turned_away = False
+        self.rejects_calls = False
 
     def __getattr__(self, name):
         def call(*args):
             self.calls.append(name)
-            if self.turned_away:
-                failure = _store.StoreUnavailableError("turned away")
+            if self.rejects_calls:
+                failure = _store.StoreUnavailableError("rejected")
                 return decisions.failed(failure)
             return getattr(self._store, name)(*args)
 
@@ -137,7 +153,10 @@
         self.clock.advance(1.0)
 
     def settle(self) -> None:
-        """Lets changes spread: a look of the other, and a round trip."""
+        """Waits until changes have reached the other node.
+
+        This takes one of its periodic checks and a round trip.
+        """
         self.clock.advance(0.3)
 
 
@@ -186,12 +205,12 @@
 
 def test_a_node_watches_itself_once_no_peer_has_news():
     lab = Lab()
-    lab.reader.store.turned_away = True
+    lab.reader.store.rejects_calls = True
     lab.clock.advance(_followers.MAX_STORE_AGE_S + 4.0)
     lab.store.put("members/b", b"orders")
     lab.settle()
     assert "b" in lab.other.copy.members
-    lab.reader.store.turned_away = False
+    lab.reader.store.rejects_calls = False
     lab.clock.advance(8.0)
     lab.other.store.calls.clear()
     lab.clock.advance(20.0)
@@ -260,23 +279,26 @@
         decisions.PeriodicTimer(self.clock, 0.1, lambda: self._look(roster))
 
     def _look(self, roster: _roster.Roster) -> None:
-        """Notes how many nodes a node's roster holds at first."""
+        """Updates a roster and records the size of its first list."""
         was_known = roster.is_known
         if roster.update() and not was_known:
             self.first_rosters.append(len(roster.nodes))
 
     @property
     def readers(self) -> list[Node]:
-        """The nodes whose news of the store reach others."""
+        """The nodes whose news of the store reaches other nodes."""
         return self.nodes
 
     def calls(self, name: str) -> float:
-        """Returns how often a node called the store so, on average."""
+        """Returns how often a node called this method on average."""
         return sum(n.store.calls.count(name) for n in self.nodes) / self.SIZE
 
 
 def test_a_fleet_that_starts_calls_the_store_few_times():
-    """Watches a node in the first 3 s: 6.3 before, 0.75 since nodes gather."""
+    """Guards the pause after changes of nodes.
+
+    In the first 3 s a node started 6.3 watches without it, and 0.75 with it.
+    """
     lab = StartLab()
     lab.clock.advance(3.0)
     names = {n.own.name for n in lab.nodes}
@@ -286,9 +308,10 @@
 
 
 def test_no_node_of_a_fleet_that_starts_takes_itself_for_one_of_a_few():
-    """Whoever did would serve all groups, with links to all members.
+    """Such a node would serve all groups, with links to all members.
 
-    The first ones miss those that list themselves last: 19 of 24 are known.
+    The first nodes to adopt a list miss the last ones to register: their lists
+    hold 19 of 24 nodes.
     """
     lab = StartLab()
     lab.clock.advance(2.0)
@@ -297,7 +320,7 @@
 
 
 def test_a_copy_that_takes_long_is_waited_for():
-    """On a narrow link; it was asked for again, whole, each 0.4 s."""
+    """A fixed timeout had a narrow link send it again in full every 0.4 s."""
     lab = Lab()
     lab.stream.delay_s = 0.9
     lab.stream.calls = 0
@@ -324,7 +347,7 @@
 def test_a_node_that_stays_behind_reads_the_store_itself():
     lab = Lab()
     lab.stream.delay_s = 60.0
-    lab.stream.owed_s = 0.0  # It shows life, and yet nothing is whole.
+    lab.stream.owed_s = 0.0  # The peer sends data but never a whole reply.
     lab.other.store.calls.clear()
     lab.store.put("members/b", b"orders")
     lab.clock.advance(1.8)
--- a/packages/proxy/src/ferry_proxy/tests/test_lost_nodes.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_lost_nodes.py
@@ -1,4 +1,4 @@
-"""Entries of nodes that are gone for good."""
+"""The removal of the entries of nodes that are permanently gone."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 class FakeReach:
-    """Which peers a node reaches."""
+    """The peers that a node reaches."""
 
     def __init__(self) -> None:
         self.connected: set[str] = set()
@@ -20,7 +20,7 @@
 
 
 class Lab(test_followers.Lab):
-    """A node that watches the next one on the ring."""
+    """A node that monitors its successor on the ring."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -56,19 +56,19 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "change",
     [
         lambda lab: setattr(lab.mesh, "share", 0.2),
         lambda lab: setattr(lab.store, "down", True),
         lambda lab: lab.mesh.connected.add(lab.next),
     ],
-    ids=["alone itself", "store away", "back again"],
+    ids=["few peers reached", "store unavailable", "reachable again"],
 )
-def test_nobody_is_removed_by_a_node_that_may_be_wrong(spoil):
+def test_nobody_is_removed_by_a_node_that_may_be_wrong(change):
     lab = Lab()
     lab.mesh.connected.clear()
     lab.run(_lost_nodes.REMOVE_AFTER_S - 6.0)
-    spoil(lab)
+    change(lab)
     lab.run(12.0)
     assert lab.is_listed
     assert "remove_if" not in lab.reader.store.calls
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_claims.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_claims.py
@@ -1,9 +1,9 @@
-"""Claims to change a primary, and a store that comes back from a copy.
+"""Claims to change a primary after the store was restored from a backup.
 
-The copy lacks the claims of the last seconds. The next holder was given a
-fencing token that members had seen from another one; it acted while the holder
-of a claim that was lost still did; and a write that was sent before could take
-hold under a number that was given out again.
+The backup lacks the claims of the last seconds. Guards against three failures:
+the next holder received a fencing token that members had already seen from
+another holder; it acted while the holder of a lost claim was still acting; and
+a delayed write could take effect because its revision number was used again.
 """
 
 import ferry_decisions as decisions
@@ -21,11 +21,13 @@
 
 POLICY = _policy.Policy()
 REPLICA = _members.Role.REPLICA
-CALM_S = 20.0  # Longer than anybody waits for the holder of an older claim.
+
+# Longer than any node waits for the holder of an older claim.
+SETTLE_S = 20.0
 
 
 class NoPeers:
-    """A node that hears of the store from nobody else."""
+    """A node without peers, which learns of the store only by itself."""
 
     streams: list[_followers.PeerInfo] = []
 
@@ -49,7 +51,7 @@
         self.run(0.5)
 
     def replace_leader(self, wait_s: float = 5.0) -> None:
-        """Crashes the primary and waits; it comes back as a replica."""
+        """Crashes the primary, waits, and restarts it as a replica."""
         assert self.group.leader is not None
         member = self.cluster.members[self.group.leader.member]
         self.cluster.crash(member.id)
@@ -74,7 +76,7 @@
         )
 
     def take(self, node: str = "n1") -> _records.HeldClaim:
-        """Takes a claim; raises what that fails with."""
+        """Takes a claim; raises the error that this fails with."""
         fut = decisions.start(self.claims(node).take())
         self.run(0.1)
         return fut.result()
@@ -87,7 +89,7 @@
     for _ in range(3):
         lab.replace_leader()
         lab.store.restore(copy)
-        lab.run(CALM_S)
+        lab.run(SETTLE_S)
     assert len(lab.tokens) == 3
     assert lab.tokens == sorted(set(lab.tokens))
 
@@ -102,7 +104,7 @@
     fresh.store.clock = fresh.clock
     fresh.follower._store = lab.store
     fresh.follower._needs_snapshot = True
-    fresh.run(CALM_S)
+    fresh.run(SETTLE_S)
     assert fresh.take("n2").claim.token > max(first)
 
 
@@ -130,7 +132,7 @@
 
 
 def test_a_write_sent_before_the_restore_takes_no_later_claim_away():
-    """Its condition names a number that the later claim was given again."""
+    """The condition's revision number is the later claim's number as well."""
     lab = Lab()
     copy = lab.store.copy()
     first = lab.take("n1")
@@ -138,7 +140,7 @@
     with pytest.raises(_store.StoreUnavailableError):
         lab.take("n1")
     lab.store.restore(copy)
-    lab.run(CALM_S)
+    lab.run(SETTLE_S)
     held = lab.take("n2")
     assert held.revision.number == first.revision.number
     lab.store.run_late_writes()
@@ -148,7 +150,7 @@
 
 
 def test_a_list_of_members_of_another_era_begins_no_change():
-    """The copy may lack a replica, which could acknowledge beside the fence."""
+    """The backup may lack a replica that acknowledges despite the fence."""
     lab = Lab()
     fence = _fences.Fence(lab.clock, lab.store, lab.catalogue, lab.group)
     lab.store.restore(lab.store.copy())
@@ -171,7 +173,7 @@
     for _ in range(3):
         lab.take()
         lab.store.restore(lab.store.copy())
-        lab.run(CALM_S)
+        lab.run(SETTLE_S)
     lab.take()
     lab.run(1.0)
     prefix = _records.CLAIM_PREFIX
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_configuration.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_configuration.py
@@ -1,8 +1,9 @@
-"""Configurations, and a store that comes back from an older copy.
+"""Configurations after the store was restored from an older backup.
 
-Until the operator has written it again, the copy holds an older configuration
-than the one in force. A node that started then knew the copy alone and refused
-callers of routes that all other nodes served.
+Until the operator writes it again, the restored store holds an older
+configuration than the active one. Guards against a failure in which a node that
+started then knew only the restored store, and refused callers of routes that
+all other nodes served.
 """
 
 import attrs
@@ -16,12 +17,12 @@
 
 
 def decode(value: bytes) -> _configuration.Configuration:
-    """Reads a version."""
+    """Decodes a document that consists of a version."""
     return _configuration.Configuration(int(value), {}, {}, 3.0, 1 << 20)
 
 
 def changed_after_a_copy(lab: test_followers.Lab) -> fakes.Copy:
-    """Writes version 4, then 9; returns a copy of the store between them."""
+    """Writes version 4, then 9; returns a backup taken in between."""
     lab.store.put("config", b"4")
     lab.settle()
     copy = lab.store.copy()
@@ -31,7 +32,7 @@
 
 
 class Lab(test_followers.Lab):
-    """Nodes that have a configuration which the store has lost."""
+    """Nodes whose configuration has been lost from the store."""
 
     layout = _catalogue.Layout(
         "config", "members/", decode, test_followers._member
@@ -44,7 +45,7 @@
         self.clock.advance(self.policy.watch_wait_s + 1.0)
 
     def add(self) -> test_followers.Node:
-        """Starts a node that is connected to one that was there before."""
+        """Starts a node that is connected to an existing one."""
         node = test_followers.Node(self, "n9")
         peer = self.reader
         stream = test_followers.FakeStream(peer.own.name, peer.copy)
@@ -57,13 +58,13 @@
     return node.copy.configuration.version
 
 
-def test_what_is_in_force_stays_so():
+def test_the_active_configuration_stays_active():
     lab = Lab()
     assert lab.reader.copy.revision.era == 1
     assert (version(lab.reader), version(lab.other)) == (9, 9)
 
 
-def test_a_node_that_starts_learns_of_it_from_peers_once():
+def test_a_node_that_starts_gets_the_active_version_from_peers_once():
     lab = Lab()
     node = lab.add()
     lab.clock.advance(0.3)
@@ -72,8 +73,8 @@
     assert node.streams[0].calls <= 2
 
 
-def test_what_is_written_again_is_told_once():
-    """The whole document may be hundreds of kilobytes."""
+def test_what_is_written_again_is_sent_once():
+    """The whole document may be hundreds of kilobytes in size."""
     lab = Lab()
     assert lab.reader.copy.batch_after(decisions.UNREAD).kept is not None
     lab.store.put("config", b"9")
@@ -100,7 +101,7 @@
     def __init__(self) -> None:
         super().__init__()
         copy = changed_after_a_copy(self)
-        self.reader.store.turned_away = True
+        self.reader.store.rejects_calls = True
         self.clock.advance(self.policy.watch_wait_s + 1.0)
         self.store.restore(copy)
         self.started = test_followers.Node(self, "n9")
@@ -110,7 +111,7 @@
         self.started.streams.append(stream)
 
 
-def test_a_peer_of_the_era_before_tells_what_is_in_force():
+def test_a_peer_of_the_era_before_sends_the_active_configuration():
     lab = LateLab()
     lab.clock.advance(0.5)
     assert lab.started.copy.revision.era == 1
@@ -124,12 +125,12 @@
     lab.clock.advance(0.5)
     assert version(lab.started) == 4
     lab.started.streams[0].withholds = False
-    lab.reader.store.turned_away = False
+    lab.reader.store.rejects_calls = False
     lab.clock.advance(2.0)
     assert version(lab.started) == 9
 
 
-def test_a_node_that_started_without_the_store_waits_for_its_peers_word():
+def test_a_node_that_started_without_the_store_waits_for_its_peers():
     lab = Lab()
     lab.store.down = True
     node = test_followers.Node(lab, "n9")
@@ -146,10 +147,11 @@
     node = lab.add()
     lab.clock.advance(20.0)
     assert node.copy.configuration is None
-    assert node.streams[0].calls <= MOST_ASKED
+    assert node.streams[0].calls <= MAX_CALLS
 
 
-MOST_ASKED = 12  # In 20 s: a whole document may travel each time.
+# The calls that are allowed in 20 s; each may send a whole document.
+MAX_CALLS = 12
 
 
 def _unreadable(_: bytes) -> _configuration.Configuration:
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_members.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_members.py
@@ -1,9 +1,9 @@
-"""Entries of members while the store has just come back from an older copy.
+"""Entries of members just after the store was restored from an older backup.
 
-The copy holds what members wrote some seconds ago: a member that has said since
-that it leaves stands there as ready, one that joined is missing, and one that
-went is back. Statements went to members that were leaving, later than allowed,
-until these had written again.
+The backup holds what members wrote some seconds ago: it lists a member as ready
+that has started to leave since, lacks one that has joined, and still has one
+that is gone. Guards against a failure in which members that were leaving
+received statements later than allowed, until they had written again.
 """
 
 import attrs
@@ -18,11 +18,13 @@
 MEMBER = _members.Member("i-1", "orders", "10.0.0.1", 80, "hall-a", 5)
 KEY = "members/i-1"
 OTHER = "members/i-2"
-ENTRY_S = 0.5  # A member writes again so soon.
+
+# How soon a member writes its entry again.
+ENTRY_S = 0.5
 
 
 def decode(member: str, value: bytes) -> _members.Member:
-    """Reads `SEQUENCE STATE`."""
+    """Decodes an entry of the form `SEQUENCE STATE`."""
     sequence, _, state = value.decode().partition(" ")
     return attrs.evolve(
         MEMBER,
@@ -33,7 +35,7 @@
 
 
 class Lab:
-    """A node's copy of a store that is restored."""
+    """A node's copy of a store that can be restored from a backup."""
 
     def __init__(self) -> None:
         self.clock = decisions.VirtualTimers()
@@ -46,7 +48,7 @@
         self.store.put(OTHER, b"1 ready")
 
     def read(self) -> None:
-        """Reads the store whole."""
+        """Reads a full snapshot of the store."""
         items = tuple(i for i in self.store.items.values() if i.value)
         snapshot = _store.Changes(items, self.store.revision)
         self.copy.merge_snapshot(snapshot, "store")
@@ -61,8 +63,8 @@
         return self.copy.members["i-1"].draining
 
 
-def leaving() -> Lab:
-    """Returns a node that knows of a leaving member what the copy lacks."""
+def lab_with_leaving_member() -> Lab:
+    """Returns a node that knows a member to be leaving, unlike the backup."""
     lab = Lab()
     lab.read()
     lab.write(KEY, "7 ready")
@@ -74,8 +76,8 @@
     return lab
 
 
-def test_a_leaving_member_that_the_copy_calls_ready_is_still_leaving():
-    lab = leaving()
+def test_a_leaving_member_that_the_copy_lists_as_ready_is_still_leaving():
+    lab = lab_with_leaving_member()
     assert lab.copy.revision == fakes.at(2, era=1)
     assert lab.drains
     lab.clock.advance(ENTRY_S)
@@ -85,7 +87,7 @@
 
 
 def test_a_member_that_wrote_ready_again_is_believed_at_once():
-    lab = leaving()
+    lab = lab_with_leaving_member()
     lab.write(KEY, "10 ready")
     assert not lab.drains
 
@@ -104,7 +106,7 @@
 
 
 def test_a_member_that_does_not_write_again_is_what_the_copy_says():
-    lab = leaving()
+    lab = lab_with_leaving_member()
     lab.clock.advance(lab.policy.return_grace_s + 0.1)
     assert not lab.drains
 
@@ -137,8 +139,8 @@
     assert "i-1" in lab.copy.members
 
 
-def test_a_second_restore_makes_the_copys_entry_no_truer():
-    lab = leaving()
+def test_a_second_restore_does_not_confirm_the_restored_entry():
+    lab = lab_with_leaving_member()
     lab.store.restore(lab.store.copy())
     lab.read()
     assert lab.drains
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_nodes.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_nodes.py
@@ -1,9 +1,9 @@
-"""Entries of nodes, and a store that comes back from an older copy.
+"""Entries of nodes after the store was restored from an older backup.
 
-The copy lacks nodes that listed themselves in the last seconds. They were taken
-for gone: other nodes took their groups over, with links of their own to the
-members, and gave them back when they were listed again; and all of them wrote
-at the same moment.
+The backup lacks nodes that registered in the last seconds. Guards against two
+failures: such nodes were considered gone, so that other nodes took over their
+groups with new links to the members and returned them once they had registered
+again; and all of them wrote to the store at the same moment.
 """
 
 from ferry_proxy import _records
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_store.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_store.py
@@ -1,8 +1,8 @@
-"""A store that comes back from an older copy, as nodes see it in turn.
+"""Copies of a store that was restored from an older backup.
 
-Nodes passed over what was written after the store had come back, since its
-numbers were no higher than those that they knew; peers that knew the history
-that is gone would have told it to those that did not.
+Guards against two failures: nodes ignored what was written after the restore,
+since its revision numbers were not higher than those that they knew; and peers
+could have passed items of the lost history on to nodes that did not have them.
 """
 
 import ferry_decisions as decisions
@@ -16,14 +16,14 @@
 
 
 def copy_with(*names: str, era: int, number: int) -> _catalogue.Catalogue:
-    """Returns a copy of the store that holds members by these names."""
-    made = _catalogue.Catalogue(
+    """Returns a copy of the store that holds members with these names."""
+    catalogue = _catalogue.Catalogue(
         decisions.VirtualTimers(), test_followers.LAYOUT, _policy.Policy()
     )
     revision = fakes.at(number, era)
     items = [_store.Item("members/" + n, b"orders", revision) for n in names]
-    made.merge_snapshot(_store.Changes(tuple(items), revision), "test")
-    return made
+    catalogue.merge_snapshot(_store.Changes(tuple(items), revision), "test")
+    return catalogue
 
 
 def test_a_node_that_copies_from_peers_follows_into_the_new_era():
--- a/packages/proxy/src/ferry_proxy/tests/test_roster.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""Which nodes count while many come at once."""
+"""The list of nodes that a node acts on, while many nodes register at once."""
 
 import attrs
 import ferry_decisions as decisions
@@ -9,7 +9,7 @@
 
 @attrs.define
 class FakeCatalogue:
-    """A copy of the store, as far as nodes go."""
+    """A copy of the store that holds only nodes."""
 
     is_read: bool = False
     nodes: dict[str, _records.NodeEntry] = attrs.field(factory=dict)
@@ -20,7 +20,7 @@
 
 
 class Lab:
-    """A roster that is looked at as often as a node does."""
+    """A roster that is updated as often as a node does so."""
 
     def __init__(self, *listed: str) -> None:
         self.clock = decisions.VirtualTimers()
@@ -42,7 +42,7 @@
 
 
 def test_a_fleet_that_starts_is_taken_over_as_a_whole():
-    """195 nodes in 0.3 s: taken over once; each was a change before."""
+    """195 nodes register within 0.3 s; each of them used to be a change."""
     lab = Lab("n0")
     for n in range(195):
         lab.clock.advance(0.3 / 195)
@@ -74,7 +74,7 @@
     lab = Lab()
     lab.clock.advance(1.0)
     assert not lab.roster.is_known
-    lab.catalogue.is_read = True  # And it holds no node.
+    lab.catalogue.is_read = True  # The store holds no nodes.
     lab.clock.advance(1.0)
     assert lab.roster.is_known
     assert len(lab.changes) == 1
