--- a/packages/proxy/src/ferry_proxy/_catalogue.py
+++ b/packages/proxy/src/ferry_proxy/_catalogue.py
@@ -105,7 +105,7 @@
         self._clock = clock
         self._layout = layout
         self._items: dict[str, _store.Item] = {}
-        self.grace = _grace.ReturnGrace(clock, policy.return_grace_s)
+        self.grace = _grace.GracePeriod(clock, policy.return_grace_s)
         self._entries = _member_entries.MemberEntries(
             _member_entries.EntriesContext(
                 clock,
--- a/packages/proxy/src/ferry_proxy/_grace.py
+++ b/packages/proxy/src/ferry_proxy/_grace.py
@@ -3,7 +3,7 @@
 from ferry_proxy import _clocks
 
 
-class ReturnGrace:
+class GracePeriod:
     """The time that writers of entries have after the store returns.
 
     Entries may have lapsed during an outage of the store, or may be missing
