--- a/packages/proxy/src/ferry_proxy/_contact.py
+++ b/packages/proxy/src/ferry_proxy/_contact.py
@@ -48,7 +48,7 @@
 
     @property
     def link_failing_s(self) -> float:
-        """Seconds since a connection failed without any answer afterwards."""
+        """Seconds since the first connection failure after the last answer."""
         if self._link_failing_since is None:
             return 0.0
         return self._clock.now() - self._link_failing_since
--- a/packages/proxy/src/ferry_proxy/_copy_sources.py
+++ b/packages/proxy/src/ferry_proxy/_copy_sources.py
@@ -61,7 +61,7 @@
         self._attempts: dict[str, _Attempts] = {}
 
     def choose(self, near: Sequence[P], far: Sequence[P]) -> P | None:
-        """Returns the peer to ask now; None if all have to be left to wait.
+        """Returns the peer to ask now; None if none is due yet.
 
         Args:
             near: Peers that are ahead, in this node's data centre.
--- a/packages/proxy/src/ferry_proxy/tests/test_followers.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_followers.py
@@ -29,7 +29,7 @@
 
     Attributes:
         peer: The name of the peer.
-        theirs: The peer's copy.
+        peer_copy: The peer's copy.
         store_seen: When the store last answered the peer.
         silence_s: How long the peer has been silent.
         owed_s: How long the peer has been silent while it owes a reply.
@@ -39,7 +39,7 @@
     """
 
     peer: str
-    theirs: _catalogue.Catalogue
+    peer_copy: _catalogue.Catalogue
     store_seen: float = float("-inf")
     silence_s: float = 0.0
     owed_s: float = 0.0
@@ -49,22 +49,22 @@
 
     @property
     def covered(self) -> decisions.Revision:
-        return self.theirs.covered
+        return self.peer_copy.covered
 
     @property
     def version(self) -> int:
-        return self.theirs.version
+        return self.peer_copy.version
 
     def call(self, body):
         self.calls += 1
-        batch = self.theirs.batch_after(body.revision, body.version)
+        batch = self.peer_copy.batch_after(body.revision, body.version)
         if self.withholds:
             batch = _catalogue.Batch((), body.revision, body.revision, False)
         data = _peer_messages.encode(1, _peer_messages.SyncReply.of(batch))
         reply = _peer_messages.Decoder().feed(data)[0].body
         fut: decisions.Future[object] = decisions.Future()
         if self.delay_s:
-            clock = self.theirs._clock
+            clock = self.peer_copy._clock
             clock.after(self.delay_s, lambda: fut.set_result(reply))
         else:
             fut.set_result(reply)
@@ -95,7 +95,7 @@
     def _look(self) -> None:
         for stream in self.streams:
             for node in self._lab.readers:
-                if stream.theirs is node.copy:
+                if stream.peer_copy is node.copy:
                     stream.store_seen = node.follower.seen_at
         self.registrar.update()
 
