--- a/packages/proxy/src/ferry_proxy/_active_configuration.py
+++ b/packages/proxy/src/ferry_proxy/_active_configuration.py
@@ -5,8 +5,8 @@
 from ferry_proxy import _clocks
 from ferry_proxy import _configuration
 from ferry_proxy import _events
-from ferry_proxy import _homes
 from ferry_proxy import _store
+from ferry_proxy import _team_placement
 
 # The maximum length of an event's description of invalid items.
 MAX_DETAIL_CHARS = 400
@@ -40,7 +40,7 @@
         self._clock = clock
         self.configuration: _configuration.Configuration | None = None
         self.origin: Origin | None = None
-        self.homes = _homes.Homes({})
+        self.team_placement = _team_placement.TeamPlacement({})
 
     @property
     def version(self) -> int:
@@ -68,8 +68,8 @@
             return  # The same version, written again at another revision.
         self.configuration = cfg
         rates = cfg.teams.rates
-        if rates != self.homes.rates:
-            self.homes = _homes.Homes(rates)
+        if rates != self.team_placement.rates:
+            self.team_placement = _team_placement.TeamPlacement(rates)
         self._report(cfg, known, item, source)
 
     def _report(
--- a/packages/proxy/src/ferry_proxy/_catalogue.py
+++ b/packages/proxy/src/ferry_proxy/_catalogue.py
@@ -16,12 +16,12 @@
 from ferry_proxy import _configuration
 from ferry_proxy import _events
 from ferry_proxy import _grace
-from ferry_proxy import _homes
 from ferry_proxy import _member_entries
 from ferry_proxy import _members
 from ferry_proxy import _policy
 from ferry_proxy import _records
 from ferry_proxy import _store
+from ferry_proxy import _team_placement
 from ferry_proxy import _teams
 
 
@@ -116,9 +116,9 @@
             ),
             self.grace,
         )
-        self._complete_since = decisions.UNREAD
-        self.revision = decisions.UNREAD
-        self.covered = decisions.UNREAD
+        self._complete_since = decisions.UNREAD_REVISION
+        self.revision = decisions.UNREAD_REVISION
+        self.covered = decisions.UNREAD_REVISION
         self.active_configuration = _active_configuration.ActiveConfiguration(
             clock
         )
@@ -152,7 +152,7 @@
     @property
     def is_read(self) -> bool:
         """Whether the store's items have been read."""
-        return self.revision > decisions.UNREAD
+        return self.revision > decisions.UNREAD_REVISION
 
     def condition(self, key: str) -> decisions.Revision:
         """Returns a key's revision, as the condition of a write."""
@@ -170,9 +170,9 @@
         return self.active_configuration.version
 
     @property
-    def homes(self) -> _homes.Homes:
+    def team_placement(self) -> _team_placement.TeamPlacement:
         """The assignment of teams to nodes."""
-        return self.active_configuration.homes
+        return self.active_configuration.team_placement
 
     def batch_after(
         self, revision: decisions.Revision, version: int = 0
@@ -293,7 +293,8 @@
         """Moves `revision` and `covered` forward to include changes."""
         self.revision = max(self.revision, changes.revision)
         newest = max(
-            (i.revision for i in changes.items), default=decisions.UNREAD
+            (i.revision for i in changes.items),
+            default=decisions.UNREAD_REVISION,
         )
         # The pages of a snapshot may hold items newer than its revision.
         self.covered = max(self.covered, min(newest, self.revision))
--- a/packages/proxy/src/ferry_proxy/_member_entries.py
+++ b/packages/proxy/src/ferry_proxy/_member_entries.py
@@ -150,7 +150,7 @@
 
 def _change(known: _members.Member | None, member: _members.Member) -> str:
     """Returns the kind of change that a member's new entry shows."""
-    if known is not None and member.is_next_life_of(known):
+    if known is not None and member.is_restart_of(known):
         return "born again"
     return "draining" if member.draining else "seen"
 
--- a/packages/proxy/src/ferry_proxy/_planned_stop.py
+++ b/packages/proxy/src/ferry_proxy/_planned_stop.py
@@ -38,17 +38,17 @@
     Attributes:
         sessions: The live collection of its callers' sessions.
         serving: The statements that it runs for other nodes.
-        is_changing: Returns whether a change of primary is in progress.
+        is_primary_changing: Returns whether a change of primary is in progress.
     """
 
     sessions: Collection[_sessions.Session]
     serving: _serving.Serving
-    is_changing: Callable[[], bool]
+    is_primary_changing: Callable[[], bool]
 
     @property
     def is_finished(self) -> bool:
         """Whether no work is in progress that other nodes wait for."""
-        return self.serving.is_idle and not self.is_changing()
+        return self.serving.is_idle and not self.is_primary_changing()
 
     def end_transactions(self) -> None:
         """Ends the transactions that are idle."""
--- a/packages/proxy/src/ferry_proxy/_registrar.py
+++ b/packages/proxy/src/ferry_proxy/_registrar.py
@@ -56,7 +56,7 @@
         """The version of the peer's configuration; 0 for none."""
 
     @property
-    def owed_s(self) -> float:
+    def unresponsive_s(self) -> float:
         """Seconds since the peer was last heard, while it owes a reply."""
 
 
@@ -86,7 +86,7 @@
         self._catalogue = catalogue
         self._follower = follower
         self._mesh = mesh
-        self._delay_s = REGISTRATION_SPREAD_S * decisions.spread_share(
+        self._delay_s = REGISTRATION_SPREAD_S * decisions.stagger_fraction(
             "entry", own.name
         )
         self._is_registering = False
@@ -171,10 +171,10 @@
         fut = stream.call(request)
         try:
             while not fut.done():
-                if stream.owed_s >= PEER_SILENCE_LIMIT_S:
+                if stream.unresponsive_s >= PEER_SILENCE_LIMIT_S:
                     raise _peers.PeerLostError(f"{stream.peer} is silent")
                 pause = decisions.sleep(self._clock, POLL_INTERVAL_S)
-                yield decisions.either(decisions.settled(fut), pause)
+                yield decisions.first_completed(decisions.settled(fut), pause)
             reply = fut.result()
             if isinstance(reply, _peer_messages.SyncReply):
                 self._merge(reply.batch, stream.peer)
--- a/packages/proxy/src/ferry_proxy/tests/test_followers.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_followers.py
@@ -32,7 +32,7 @@
         peer_copy: The peer's copy.
         store_seen: When the store last answered the peer.
         silence_s: How long the peer has been silent.
-        owed_s: How long the peer has been silent while it owes a reply.
+        unresponsive_s: How long the peer has been silent while it owes a reply.
         calls: The number of calls so far.
         delay_s: The time until a call is answered.
         withholds: Whether replies contain no changes.
@@ -42,7 +42,7 @@
     peer_copy: _catalogue.Catalogue
     store_seen: float = float("-inf")
     silence_s: float = 0.0
-    owed_s: float = 0.0
+    unresponsive_s: float = 0.0
     calls: int = 0
     delay_s: float = 0.0
     withholds: bool = False
@@ -337,7 +337,7 @@
     second = FakeStream("n-second", lab.reader.copy)
     lab.other.streams.append(second)
     lab.stream.delay_s = 60.0
-    lab.stream.owed_s = 0.5
+    lab.stream.unresponsive_s = 0.5
     lab.store.put("members/b", b"orders")
     lab.clock.advance(1.0)
     assert "b" in lab.other.copy.members
@@ -347,7 +347,9 @@
 def test_a_node_that_stays_behind_reads_the_store_itself():
     lab = Lab()
     lab.stream.delay_s = 60.0
-    lab.stream.owed_s = 0.0  # The peer sends data but never a whole reply.
+    lab.stream.unresponsive_s = (
+        0.0  # The peer sends data but never a whole reply.
+    )
     lab.other.store.calls.clear()
     lab.store.put("members/b", b"orders")
     lab.clock.advance(1.8)
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_configuration.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_configuration.py
@@ -21,7 +21,7 @@
     return _configuration.Configuration(int(value), {}, {}, 3.0, 1 << 20)
 
 
-def changed_after_a_copy(lab: test_followers.Lab) -> fakes.Copy:
+def changed_after_a_copy(lab: test_followers.Lab) -> fakes.StoreBackup:
     """Writes version 4, then 9; returns a backup taken in between."""
     lab.store.put("config", b"4")
     lab.settle()
@@ -76,10 +76,12 @@
 def test_what_is_written_again_is_sent_once():
     """The whole document may be hundreds of kilobytes in size."""
     lab = Lab()
-    assert lab.reader.copy.batch_after(decisions.UNREAD).kept is not None
+    assert (
+        lab.reader.copy.batch_after(decisions.UNREAD_REVISION).kept is not None
+    )
     lab.store.put("config", b"9")
     lab.settle()
-    assert lab.reader.copy.batch_after(decisions.UNREAD).kept is None
+    assert lab.reader.copy.batch_after(decisions.UNREAD_REVISION).kept is None
 
 
 def test_what_the_operator_writes_next_counts_everywhere():
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_store.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_store.py
@@ -46,7 +46,7 @@
 def test_a_peer_that_knows_more_of_the_older_history_changes_nothing():
     old = copy_with("a", "b", "c", era=1, number=90)
     new = copy_with("a", era=2, number=50)
-    new.merge_batch(old.batch_after(decisions.UNREAD), "peer")
+    new.merge_batch(old.batch_after(decisions.UNREAD_REVISION), "peer")
     assert set(new.members) == {"a"}
     assert new.revision == new.covered == fakes.at(50, era=2)
 
