--- a/packages/proxy/src/ferry_proxy/_questions.py
+++ b/packages/proxy/src/ferry_proxy/_control_commands.py
@@ -12,7 +12,7 @@
 STATUS_PRIORITY = 0  # Control links go before all statements in any case.
 
 
-class Questions:
+class ControlCommands:
     """Asks members over links of their pools."""
 
     def __init__(self, clock: _clocks.Clock, policy: _policy.Policy) -> None:
--- a/packages/proxy/src/ferry_proxy/_execution.py
+++ b/packages/proxy/src/ferry_proxy/_execution.py
@@ -95,7 +95,11 @@
         group = job.group
         took_s = self._clock.now() - job.progress.handed_at
         fresh = group.floor_age_s < self._policy.suspect_s
-        if fresh and not group.is_in_flux and took_s < self._policy.doubt_s:
+        if (
+            fresh
+            and not group.is_membership_changing
+            and took_s < self._policy.doubt_s
+        ):
             return
         try:
             yield group.prove()
@@ -112,7 +116,7 @@
         """
         while True:
             pool = job.group.leader_pool
-            usable = pool is not None and pool.may_take_work
+            usable = pool is not None and pool.accepts_statements
             if pool is not None and usable and not pool.is_unreachable:
                 return pool
             left = job.hold_end(self._policy) - self._clock.now()
@@ -176,7 +180,7 @@
 
     def _may_ask(self, group: _groups.Group) -> bool:
         """Whether a round of questions now could tell more than the last."""
-        recent = self._clock.now() - group.round_at < FLOOR_RETRY_S
+        recent = self._clock.now() - group.last_round_at < FLOOR_RETRY_S
         return group.leader is not None and not recent
 
     def _choose(
@@ -207,7 +211,7 @@
             p
             for p in staying or listed
             if p.member.id not in tried
-            and p.may_take_work
+            and p.accepts_statements
             and not p.is_unreachable
         ]
 
@@ -260,7 +264,7 @@
         except _links.LinkLostError as exc:
             pool.discard(taken)
             lost = decisions.ANSWER_LOST
-            reason = lost if exc.handed else decisions.NO_CONNECTION
+            reason = lost if exc.was_sent else decisions.NO_CONNECTION
             raise decisions.RequestFailedError(reason, str(exc)) from exc
         pool.note_heard(taken, self._clock.now() - begun)
         pool.give_back(taken, reply)
@@ -285,6 +289,6 @@
         if reply.reason is decisions.UNKNOWN_PREPARED:
             return False
         until = job.retry_until
-        if job.group.is_changing:
+        if job.group.is_primary_changing:
             until = job.hold_end(self._policy)
         return self._clock.now() < until
--- a/packages/proxy/src/ferry_proxy/_forwarder.py
+++ b/packages/proxy/src/ferry_proxy/_forwarder.py
@@ -13,7 +13,9 @@
 from ferry_proxy import _records
 from ferry_proxy import _serving_plan
 
-QUIET_S = 0.3  # A peer that owes an answer is heard several times in this, or
+SILENT_PEER_S = (
+    0.3  # A peer that owes an answer is heard several times in this, or
+)
 # is gone: others are preferred, and reads asked there.
 
 
@@ -148,7 +150,7 @@
             ),
         )
 
-    def is_elsewhere(self, service: str, team: str) -> bool:
+    def is_served_by_peer(self, service: str, team: str) -> bool:
         """Whether a team's statements run at a peer, and not at this node.
 
         Args:
@@ -184,4 +186,4 @@
 
     def _is_heard(self, stream: Stream) -> bool:
         heard = stream.silence_s < self.policy.isolated_s
-        return heard and stream.owed_s < QUIET_S
+        return heard and stream.owed_s < SILENT_PEER_S
--- a/packages/proxy/src/ferry_proxy/_forwarding.py
+++ b/packages/proxy/src/ferry_proxy/_forwarding.py
@@ -40,7 +40,7 @@
 
 # What a lost answer means where it leaves nothing behind: a read is asked
 # elsewhere, and a transaction whose COMMIT was not sent is rolled back.
-FREE_TO_LEAVE = frozenset({decisions.READ_CUT, decisions.TRANSACTION_LOST})
+SAFE_TO_ABANDON = frozenset({decisions.READ_CUT, decisions.TRANSACTION_LOST})
 
 
 class RemoteRunner:
@@ -157,7 +157,7 @@
     limit = max(0.0, request.deadline - sent) + ANSWER_MARGIN_S
     request.progress.via = stream.peer
     fut = stream.call(body)
-    if lost in FREE_TO_LEAVE:
+    if lost in SAFE_TO_ABANDON:
         fut = decisions.start(_unless_quiet(clock, stream, fut))
     try:
         answer: _peer_messages.Message = yield decisions.within(
@@ -185,10 +185,10 @@
         PeerLostError: The peer fell silent; a read may be asked elsewhere.
     """
     while not fut.done():
-        left_s = max(LEAST_PAUSE_S, _forwarder.QUIET_S - stream.owed_s)
+        left_s = max(LEAST_PAUSE_S, _forwarder.SILENT_PEER_S - stream.owed_s)
         pause = decisions.sleep(clock, left_s)
         yield decisions.either(decisions.settled(fut), pause)
-        if not fut.done() and stream.owed_s >= _forwarder.QUIET_S:
+        if not fut.done() and stream.owed_s >= _forwarder.SILENT_PEER_S:
             raise _peers.PeerLostError(f"{stream.peer} is silent")
     return fut.result()
 
--- a/packages/proxy/src/ferry_proxy/_read_races.py
+++ b/packages/proxy/src/ferry_proxy/_hedged_reads.py
@@ -15,10 +15,10 @@
 from ferry_proxy import _pools
 
 MAX_HEDGES = 2  # Further members that a read is asked at while one is silent.
-SILENT_LINK_S = 2.0  # A link without an answer for so long is closed.
+SILENT_LINK_TIMEOUT_S = 2.0  # A link without an answer for so long is closed.
 
 
-class ReadRace:
+class HedgedRead:
     """A read asked at one member, and at others when that one is silent."""
 
     def __init__(
@@ -86,7 +86,7 @@
             if not fut.done():
                 pool.discard(taken)
 
-        limit = max(SILENT_LINK_S, self._job.route.timeout_s)
+        limit = max(SILENT_LINK_TIMEOUT_S, self._job.route.timeout_s)
         timer = self._clock.after(limit, check)
         fut.add_done_callback(lambda _: timer.cancel())
 
--- a/packages/proxy/src/ferry_proxy/_link_choice.py
+++ b/packages/proxy/src/ferry_proxy/_link_choice.py
@@ -11,16 +11,20 @@
 
 from ferry_proxy import _pooled_links
 
-MEMORY_S = 4.0  # Uses are forgotten so fast; a wave of traffic takes 11 s, and
+USE_DECAY_S = (
+    4.0  # Uses are forgotten so fast; a wave of traffic takes 11 s, and
+)
 # a team that sends ten statements a second is known within half a second.
-UNUSED_S = 5.0  # A new connection costs 12 ms of a slot; bursts last seconds.
-KEPT_LINKS = 2  # One for statements, one for status questions.
+IDLE_LINK_S = (
+    5.0  # A new connection costs 12 ms of a slot; bursts last seconds.
+)
+MIN_IDLE_LINKS = 2  # One for statements, one for status questions.
 NOTHING = 0.01  # A use of 18 s ago.
 
 PooledLink = _pooled_links.PooledLink
 
 
-def for_question(idle: Collection[PooledLink]) -> PooledLink | None:
+def for_control(idle: Collection[PooledLink]) -> PooledLink | None:
     """Returns the link for a question of ours: whichever was silent longest.
 
     A question is asked in nobody's name, and checks the link as well.
@@ -52,12 +56,12 @@
         idle: The links that are free.
         now: The time, in the clock's seconds.
     """
-    spare = max(0, len(idle) - KEPT_LINKS)
+    spare = max(0, len(idle) - MIN_IDLE_LINKS)
     oldest = sorted(idle, key=lambda t: t.used)[:spare]
-    return [t for t in oldest if t.used < now - UNUSED_S]
+    return [t for t in oldest if t.used < now - IDLE_LINK_S]
 
 
-class Uses:
+class TeamUsage:
     """How often teams have asked for a pool's links lately."""
 
     def __init__(self) -> None:
@@ -75,7 +79,7 @@
 
     def _fade(self, now: float) -> None:
         """Forgets a part; what is next to nothing is dropped."""
-        factor = math.exp((self._at - now) / MEMORY_S)
+        factor = math.exp((self._at - now) / USE_DECAY_S)
         self._at = now
         self._weights = {
             team: weight * factor
@@ -85,7 +89,7 @@
 
 
 def to_close(
-    idle: Collection[PooledLink], uses: Uses, waited_for: Collection[str]
+    idle: Collection[PooledLink], uses: TeamUsage, waited_for: Collection[str]
 ) -> PooledLink | None:
     """Returns the link that makes room: the one likely to be idle longest.
 
--- a/packages/proxy/src/ferry_proxy/_link_room.py
+++ b/packages/proxy/src/ferry_proxy/_link_room.py
@@ -10,10 +10,12 @@
 
 import attrs
 
-GROW_S = 0.15  # Between two more links: nodes that begin within 0.3 s of each
+GROWTH_INTERVAL_S = (
+    0.15  # Between two more links: nodes that begin within 0.3 s of each
+)
 # other each get a first one before any gets a third.
 FULL_BACKOFF_S = 0.1  # The member is well, and has room once a link is closed.
-FULL_S = 0.5  # For so long no link is added once a member has no room.
+NO_GROWTH_S = 0.5  # For so long no link is added once a member has no room.
 
 
 @attrs.define(slots=True, eq=False)
@@ -42,7 +44,7 @@
             size: Links that are open or being opened.
             now: The time.
         """
-        self.full_until = now + FULL_S
+        self.full_until = now + NO_GROWTH_S
         self.most = max(1, size - 1)
 
     def bound(self, limit: int, now: float) -> int:
@@ -56,4 +58,4 @@
             return limit
         if now < self.full_until:
             return min(limit, self.most)
-        return min(limit, 1 + int((now - self.begun) / GROW_S))
+        return min(limit, 1 + int((now - self.begun) / GROWTH_INTERVAL_S))
--- a/packages/proxy/src/ferry_proxy/_member_entries.py
+++ b/packages/proxy/src/ferry_proxy/_member_entries.py
@@ -138,7 +138,7 @@
 
 def _change(known: _members.Member | None, member: _members.Member) -> str:
     """Returns what a member's new entry says, in one word for the log."""
-    if known is not None and member.is_next_life_of(known):
+    if known is not None and member.is_restart_of(known):
         return "born again"
     return "draining" if member.draining else "seen"
 
--- a/packages/proxy/src/ferry_proxy/_planned_stop.py
+++ b/packages/proxy/src/ferry_proxy/_planned_stop.py
@@ -36,17 +36,17 @@
     Attributes:
         sessions: Its callers' sessions, as they come and go.
         serving: Other nodes' statements.
-        is_changing: Whether a change of primary is under way.
+        is_primary_changing: Whether a change of primary is under way.
     """
 
     sessions: Collection[_sessions.Session]
     serving: _serving.Serving
-    is_changing: Callable[[], bool]
+    is_primary_changing: Callable[[], bool]
 
     @property
     def is_calm(self) -> bool:
         """Whether nothing is under way that others wait for."""
-        return self.serving.is_idle and not self.is_changing()
+        return self.serving.is_idle and not self.is_primary_changing()
 
     def end_transactions(self) -> None:
         """Ends the transactions that rest."""
--- a/packages/proxy/src/ferry_proxy/_pools.py
+++ b/packages/proxy/src/ferry_proxy/_pools.py
@@ -44,7 +44,7 @@
         self._used: set[PooledLink] = set()
         self._opening: collections.Counter[str] = collections.Counter()
         self._waiters = _link_queue.LinkQueue()
-        self._uses = _link_choice.Uses()
+        self._uses = _link_choice.TeamUsage()
         self._room = _link_room.LinkRoom(clock.now(), policy.has_teams)
         self._looks_again = False
         self._backoff_until = float("-inf")
@@ -77,7 +77,7 @@
             self._drains_since = self._clock.now()
 
     @property
-    def may_take_work(self) -> bool:
+    def accepts_statements(self) -> bool:
         """Whether it may get new statements, or has long been leaving."""
         since = self._drains_since
         if since is None:
@@ -219,7 +219,7 @@
             self._idle.remove(taken)
             taken.link.close()
 
-    def turn_away(self) -> None:
+    def reject_callers(self) -> None:
         """Sends those who wait, and resting transactions, elsewhere.
 
         The member leads no more: what waits for it would wait in vain.
@@ -279,7 +279,7 @@
         self._idle = [t for t in self._idle if not t.link.lost]
         lacking: collections.Counter[str] = collections.Counter()
         for waiter in self._waiters.in_order():
-            if waiter.is_gone:
+            if waiter.is_done:
                 continue  # Who got a link just now has let it be served.
             if self._may_take(waiter.use):
                 taken = self._find_idle(waiter)
@@ -293,7 +293,7 @@
 
     def _find_idle(self, waiter: _link_queue.Waiter) -> PooledLink | None:
         if waiter.use is Use.CONTROL:
-            return _link_choice.for_question(self._idle)
+            return _link_choice.for_control(self._idle)
         return _link_choice.for_team(self._idle, waiter.team, waiter.values)
 
     def _may_take(self, use: Use) -> bool:
@@ -329,7 +329,7 @@
             return True
         if bound < self.limit and not self._looks_again:
             self._looks_again = True
-            self._clock.after(_link_room.GROW_S, self._look_again)
+            self._clock.after(_link_room.GROWTH_INTERVAL_S, self._look_again)
         return self._close_idle()
 
     def _give_up_one(self) -> None:
--- a/packages/proxy/src/ferry_proxy/_promotions.py
+++ b/packages/proxy/src/ferry_proxy/_promotions.py
@@ -162,7 +162,7 @@
         pool = self._group.leader_pool
         if pool is None or not pool.contact.is_quiet:
             return
-        if self._ctx.clock.now() - self._group.round_at > ASK_AGAIN_S:
+        if self._ctx.clock.now() - self._group.last_round_at > ASK_AGAIN_S:
             self._group.refresh()
 
     def _ended(self, fut: "decisions.Future[None]") -> None:
@@ -189,7 +189,7 @@
             yield from self._confirm_stall()
         held = yield from self._claims.take()
         self._log("claimed", held.claim.token, "", cause.value)
-        self._group.expect_change()
+        self._group.expect_primary_change()
         try:
             yield from self._replace(cause, held)
         finally:
@@ -326,7 +326,7 @@
         group = self._group
         begun = ctx.clock.now()
         while ctx.clock.now() - begun < self._patience_s:
-            group.expect_change()
+            group.expect_primary_change()
             pool = group.pools.get(successor)
             if pool is None:
                 break
--- a/packages/proxy/src/ferry_proxy/_proxy.py
+++ b/packages/proxy/src/ferry_proxy/_proxy.py
@@ -313,7 +313,7 @@
     def _is_best(self, service: str, team: str) -> bool:
         """Whether no peer is better for a group that this node serves."""
         if self._groups.serves_well(service):
-            return not self._forwarder.is_elsewhere(service, team)
+            return not self._forwarder.is_served_by_peer(service, team)
         return not self._forwarder.is_served(service)
 
     def _own_runner(self, service: str) -> _runners.Runner | None:
@@ -362,7 +362,7 @@
         work = _planned_stop.Work(
             sessions=self._sessions.values(),
             serving=self._serving,
-            is_changing=lambda: self._groups.is_busy,
+            is_primary_changing=lambda: self._groups.is_busy,
         )
         return decisions.start(
             _planned_stop.stop(self._loop, self._identity.grace_s, front, work)
--- a/packages/proxy/src/ferry_proxy/_served_groups.py
+++ b/packages/proxy/src/ferry_proxy/_served_groups.py
@@ -276,7 +276,7 @@
             age = ctx.clock.boot_now() - held.seen_at
             fresh = age < ctx.policy.claim_valid_s
             if served is not None and not held.claim.done and fresh:
-                served.group.expect_change()
+                served.group.expect_primary_change()
 
     def _note_promoted(self, cause: str, elapsed_s: float) -> None:
         self._ctx.metrics.count("promotions_total", cause=cause)
--- a/packages/proxy/src/ferry_proxy/_transactions.py
+++ b/packages/proxy/src/ferry_proxy/_transactions.py
@@ -228,7 +228,7 @@
             pool.discard(taken)
             raise decisions.RequestFailedError(lost, "no answer") from exc
         except _links.LinkLostError as exc:
-            reason = lost if exc.handed else decisions.TRANSACTION_LOST
+            reason = lost if exc.was_sent else decisions.TRANSACTION_LOST
             raise decisions.RequestFailedError(reason, str(exc)) from exc
         pool.note_heard(taken, self._clock.now() - begun)
         return reply
--- a/packages/proxy/src/ferry_proxy/tests/fakes.py
+++ b/packages/proxy/src/ferry_proxy/tests/fakes.py
@@ -110,7 +110,7 @@
 
     def run(self, commands):
         if self.lost:
-            lost = _links.LinkLostError("lost", handed=False)
+            lost = _links.LinkLostError("lost", was_sent=False)
             return [decisions.failed(lost) for _ in commands]
         clock = self.member.cluster.clock
         futs = []
--- a/packages/proxy/src/ferry_proxy/tests/test_link_choice.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_link_choice.py
@@ -22,8 +22,8 @@
 
 def test_a_question_takes_the_link_that_was_silent_longest():
     links = [link("a", heard=3.0), link("b", heard=1.0), link("", heard=2.0)]
-    assert _link_choice.for_question(links) is links[1]
-    assert _link_choice.for_question([]) is None
+    assert _link_choice.for_control(links) is links[1]
+    assert _link_choice.for_control([]) is None
 
 
 @pytest.mark.parametrize(
@@ -37,7 +37,7 @@
 
 
 def uses(**counts):
-    made = _link_choice.Uses()
+    made = _link_choice.TeamUsage()
     for team, count in counts.items():
         for _ in range(count):
             made.note(team, 1.0)
@@ -63,7 +63,7 @@
 
 def test_uses_are_forgotten():
     made = uses(a=8, b=1)
-    made.note("b", 1.0 + 3 * _link_choice.MEMORY_S)
+    made.note("b", 1.0 + 3 * _link_choice.USE_DECAY_S)
     assert made.of("b") > made.of("a") > 0.0
     made.note("b", 100.0)
     assert made.of("a") == 0.0
@@ -79,7 +79,7 @@
     teams = [f"t{n}" for n in range(14)]
     weights = [1 / (n + 1) for n in range(14)]
     links: list[_pooled_links.PooledLink] = []
-    seen = _link_choice.Uses()
+    seen = _link_choice.TeamUsage()
     count = 0
     for number in range(4000):
         now = number / 30
--- a/packages/proxy/src/ferry_proxy/tests/test_lives.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_lives.py
@@ -30,7 +30,7 @@
 def test_next_life(known, told, expected):
     before = attrs.evolve(MEMBER, born=known)
     after = attrs.evolve(MEMBER, born=told)
-    assert after.is_next_life_of(before) is expected
+    assert after.is_restart_of(before) is expected
 
 
 class Copy:
--- a/packages/proxy/src/ferry_proxy/tests/test_promotions.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_promotions.py
@@ -425,14 +425,14 @@
     lab = fakes.Lab()
     lab.cluster.members["a"].dark = True
     lab.run(2.0)
-    assert lab.group.is_troubled
+    assert lab.group.has_failed_contact
     lab.cluster.members["a"].dark = False
     lab.stop_probing()
     surveys = _surveys.Surveys(lab.clock, "n1", FakePeer(lab), 0.4)
     for _ in range(3):
         surveys.survey(lab.group)
         lab.run(POLICY.probe_s)
-    assert not lab.group.is_troubled
+    assert not lab.group.has_failed_contact
 
 
 class FakePeer:
@@ -525,7 +525,7 @@
     lab = fakes.Lab()
     lab.cluster.members["b"].draining = True
     lab.group.set_members(lab.cluster.entries(), lab.limit)
-    assert lab.group.is_in_flux
+    assert lab.group.is_membership_changing
     write(lab, "calm")
     for name in "bc":
         lab.cluster.members[name].paused_term = 2
