--- a/packages/proxy/src/ferry_proxy/_control_commands.py
+++ b/packages/proxy/src/ferry_proxy/_control_commands.py
@@ -29,10 +29,10 @@
         """
         policy = self._policy
         until = self._clock.now() + policy.probe_timeout_s
-        taken = yield pool.acquire(_pools.Use.CONTROL, STATUS_PRIORITY, until)
+        pooled = yield pool.acquire(_pools.Use.CONTROL, STATUS_PRIORITY, until)
         asked_at = self._clock.boot_now()
-        reply = yield from pool.exchange(taken, command)
-        pool.release(taken)
+        reply = yield from pool.exchange(pooled, command)
+        pool.release(pooled)
         if reply.report is None:
             reason = reply.reason or decisions.PROTOCOL_VIOLATION
             raise decisions.RequestFailedError(reason, reply.detail)
--- a/packages/proxy/src/ferry_proxy/_forwarder.py
+++ b/packages/proxy/src/ferry_proxy/_forwarder.py
@@ -63,7 +63,7 @@
         own: _records.NodeEntry,
         mesh: Mesh,
         plan: Callable[[str], _serving_plan.ServingPlan | None],
-        seek: Callable[[], object],
+        open_streams: Callable[[], object],
         homes: Callable[[], _homes.Homes],
     ) -> None:
         """Makes a forwarder.
@@ -80,7 +80,7 @@
         """
         self.clock = clock
         self.policy = policy
-        self.seek = seek
+        self.open_streams = open_streams
         self._homes = homes
         self._own = own
         self._mesh = mesh
--- a/packages/proxy/src/ferry_proxy/_groups.py
+++ b/packages/proxy/src/ferry_proxy/_groups.py
@@ -57,9 +57,9 @@
         self.removed_members: dict[str, _members.RemovedMember] = {}
         self.restarted_at: dict[str, float] = {}
         self._asking: set[str] = set()
-        self._turn = 0
-        self.change_until = self.leader_found_at = float("-inf")
-        self.joined_at = float("-inf")
+        self._next_replica = 0
+        self.primary_change_until = self.leader_found_at = float("-inf")
+        self.member_joined_at = float("-inf")
         self.on_round: list[Callable[[dict[str, _members.Report]], object]] = []
 
     # -- members ---------------------------------------------------------
@@ -81,15 +81,15 @@
         if self.pools.keys() != members.keys():
             self.changed_at = now
         if self.pools and members.keys() - self.pools.keys():
-            self.joined_at = now
+            self.member_joined_at = now
         for name in self.pools.keys() - members.keys():
             self._remove(name)
         for name, member in members.items():
             pool = self.pools.get(name)
             if pool is not None and member.is_restart_of(pool.member):
-                self._end_life(pool)
+                self._forget_restarted(pool)
                 pool = None
-            elif pool is not None and _moved(pool.member, member):
+            elif pool is not None and _has_new_address(pool.member, member):
                 pool.close()
                 pool = None
             self.removed_members.pop(name, None)
@@ -126,7 +126,7 @@
         if self.leader is not None and self.leader.member == name:
             self._lose_leader()
 
-    def _end_life(self, pool: _pools.Pool) -> None:
+    def _forget_restarted(self, pool: _pools.Pool) -> None:
         """Drops all that is believed of a member that began again.
 
         Its next life is no longer paused, and may be empty. It counts as a
@@ -135,7 +135,7 @@
         name = pool.member.id
         pool.close()
         self._last_report.pop(name, None)
-        self.joined_at = self.restarted_at[name] = self._clock.now()
+        self.member_joined_at = self.restarted_at[name] = self._clock.now()
         if self.leader is not None and self.leader.member == name:
             self._lose_leader()
 
@@ -170,7 +170,7 @@
         """Whether members come and go; more may have come than are listed."""
         if any(p.member.draining for p in self.pools.values()):
             return True
-        return self._clock.now() - self.joined_at < MEMBERSHIP_CHANGE_S
+        return self._clock.now() - self.member_joined_at < MEMBERSHIP_CHANGE_S
 
     @property
     def is_primary_changing(self) -> bool:
@@ -181,7 +181,7 @@
         that is silent for longer is not being replaced, and nobody waits.
         """
         now = self._clock.now()
-        if now < self.change_until:
+        if now < self.primary_change_until:
             return True
         limit_s = self._policy.promote_wait_s
         pool = self.leader_pool
@@ -212,7 +212,9 @@
 
     def expect_primary_change(self) -> None:
         """Notes that a change of primary has begun."""
-        self.change_until = self._clock.now() + self._policy.promote_wait_s
+        self.primary_change_until = (
+            self._clock.now() + self._policy.promote_wait_s
+        )
 
     def until_leader_changes(self, limit_s: float) -> "decisions.Future[None]":
         """Returns a future that is done at a new leader or after a time."""
@@ -255,8 +257,8 @@
         self.last_round_at = self._clock.now()
         reports: dict[str, _members.Report] = {}
         futs = [
-            decisions.start(self._ask_twice(pool, reports))
-            for pool in self._to_ask()
+            decisions.start(self._ask_with_retry(pool, reports))
+            for pool in self._members_to_ask()
         ]
         enough = decisions.settle_all(
             futs, lambda _: self._sample(reports) is not None
@@ -265,12 +267,12 @@
             decisions.settled(enough),
             decisions.sleep(self._clock, STATUS_ROUND_S),
         )
-        self._take_round(reports)
+        self._apply_reports(reports)
         late = decisions.settle_all(futs, lambda _: False)
         late.add_done_callback(lambda _: self._end_round(reports))
         return reports
 
-    def _to_ask(self) -> list[_pools.Pool]:
+    def _members_to_ask(self) -> list[_pools.Pool]:
         """Returns the primary and one replica, by turns; all in trouble.
 
         Each question costs its member a slot for a moment.
@@ -283,7 +285,7 @@
         others = [p for p in pools if p is not leader]
         responsive = [p for p in others if self.is_responsive(p)]
         asked = [leader] if leader in pools else []
-        self._turn += 1
+        self._next_replica += 1
         late = self._clock.now() - self._policy.idle_probe_s
         unheard = [
             p
@@ -291,11 +293,11 @@
             if p.contact.heard < late or p.contact.troubled_s > 0
         ]
         for number in range(min(self.proof_size, len(responsive))):
-            turn = (self._turn + number) % len(responsive)
+            turn = (self._next_replica + number) % len(responsive)
             asked.append(responsive[turn])
         return list(dict.fromkeys([*asked, *unheard])) if responsive else pools
 
-    def _ask_twice(
+    def _ask_with_retry(
         self, pool: _pools.Pool, reports: dict[str, _members.Report]
     ) -> "decisions.Flow[None]":
         """Asks again over another link: one lost link is no lost member."""
@@ -311,14 +313,14 @@
             self._asking.discard(name)
         reports[name] = report
 
-    def _take_round(self, reports: dict[str, _members.Report]) -> None:
-        self._find_leader(reports)
+    def _apply_reports(self, reports: dict[str, _members.Report]) -> None:
+        self._update_leader(reports)
         sample = self._sample(reports)
         if sample is not None and self.leader is not None:
             self.floors.add(sample, self.leader.term)
 
     def _end_round(self, reports: dict[str, _members.Report]) -> None:
-        self._take_round(reports)
+        self._apply_reports(reports)
         for callback in self.on_round:
             callback(reports)
 
@@ -350,7 +352,7 @@
             return None
         return _freshness.sample_of(self.leader, reports, self.proof_size)
 
-    def _find_leader(self, reports: dict[str, _members.Report]) -> None:
+    def _update_leader(self, reports: dict[str, _members.Report]) -> None:
         for name, report in reports.items():
             self.term = max(self.term, report.term)
             if report.role is _members.Role.PRIMARY:
@@ -378,7 +380,7 @@
         self.last_leader = leader.member
         self.leader_found_at = self._clock.now()
         self.term = leader.term
-        self.change_until = float("-inf")
+        self.primary_change_until = float("-inf")
         _events.emit(
             _events.LeaderFound(self.service.name, leader.member, leader.term)
         )
@@ -388,5 +390,5 @@
         decisions.resolve(changed, None)
 
 
-def _moved(before: _members.Member, after: _members.Member) -> bool:
+def _has_new_address(before: _members.Member, after: _members.Member) -> bool:
     return (before.host, before.port) != (after.host, after.port)
--- a/packages/proxy/src/ferry_proxy/_link_choice.py
+++ b/packages/proxy/src/ferry_proxy/_link_choice.py
@@ -19,7 +19,7 @@
     5.0  # A new connection costs 12 ms of a slot; bursts last seconds.
 )
 MIN_IDLE_LINKS = 2  # One for statements, one for status questions.
-NOTHING = 0.01  # A use of 18 s ago.
+MIN_USE_WEIGHT = 0.01  # A use of 18 s ago.
 
 PooledLink = _pooled_links.PooledLink
 
@@ -29,7 +29,7 @@
 
     A question is asked in nobody's name, and checks the link as well.
     """
-    return min(idle, key=lambda t: t.heard, default=None)
+    return min(idle, key=lambda t: t.last_reply_at, default=None)
 
 
 def for_team(
@@ -44,7 +44,7 @@
     """
     return min(
         (t for t in idle if t.team == team),
-        key=lambda t: (t.distance(values), -t.heard),
+        key=lambda t: (t.distance(values), -t.last_reply_at),
         default=None,
     )
 
@@ -57,8 +57,8 @@
         now: The time, in the clock's seconds.
     """
     spare = max(0, len(idle) - MIN_IDLE_LINKS)
-    oldest = sorted(idle, key=lambda t: t.used)[:spare]
-    return [t for t in oldest if t.used < now - IDLE_LINK_S]
+    oldest = sorted(idle, key=lambda t: t.last_used_at)[:spare]
+    return [t for t in oldest if t.last_used_at < now - IDLE_LINK_S]
 
 
 class TeamUsage:
@@ -84,7 +84,7 @@
         self._weights = {
             team: weight * factor
             for team, weight in self._weights.items()
-            if weight * factor > NOTHING
+            if weight * factor > MIN_USE_WEIGHT
         }
 
 
@@ -109,7 +109,7 @@
             t.team in waited_for,
             counts[t.team] == 1,
             uses.of(t.team),
-            t.used,
+            t.last_used_at,
         ),
         default=None,
     )
--- a/packages/proxy/src/ferry_proxy/_link_room.py
+++ b/packages/proxy/src/ferry_proxy/_link_room.py
@@ -24,16 +24,16 @@
 
     Attributes:
         begun: When the pool began, in the clock's seconds.
-        fills_up: Whether all links are in use at all times, as where each is
+        is_limited: Whether all links are in use at all times, as where each is
             a team's own; elsewhere few are, and nothing has to be held back.
         full_until: Until when the member is taken to have no room.
         most: How many links there may be until then.
     """
 
-    begun: float
-    fills_up: bool
+    created_at: float
+    is_limited: bool
     full_until: float = float("-inf")
-    most: int = 0
+    max_while_full: int = 0
 
     def note_full(self, size: int, now: float) -> None:
         """Takes in that the member has no room for another link.
@@ -45,7 +45,7 @@
             now: The time.
         """
         self.full_until = now + NO_GROWTH_S
-        self.most = max(1, size - 1)
+        self.max_while_full = max(1, size - 1)
 
     def bound(self, limit: int, now: float) -> int:
         """Returns how many links there may be.
@@ -54,8 +54,8 @@
             limit: The node's part of the member's connections.
             now: The time.
         """
-        if not self.fills_up:
+        if not self.is_limited:
             return limit
         if now < self.full_until:
-            return min(limit, self.most)
-        return min(limit, 1 + int((now - self.begun) / GROWTH_INTERVAL_S))
+            return min(limit, self.max_while_full)
+        return min(limit, 1 + int((now - self.created_at) / GROWTH_INTERVAL_S))
--- a/packages/proxy/src/ferry_proxy/tests/test_link_choice.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_link_choice.py
@@ -11,17 +11,23 @@
 from ferry_proxy.tests import fakes
 
 
-def link(team, used=0.0, heard=0.0, values=None):
+def link(team, last_used_at=0.0, last_reply_at=0.0, values=None):
     """Returns a link that nobody uses."""
     conn = fakes.FakeLink(MEMBER, team)
-    return _pooled_links.PooledLink(conn, heard, team, values or {}, used=used)
+    return _pooled_links.PooledLink(
+        conn, last_reply_at, team, values or {}, last_used_at=last_used_at
+    )
 
 
 MEMBER = fakes.Lab().cluster.members["a"]
 
 
 def test_a_question_takes_the_link_that_was_silent_longest():
-    links = [link("a", heard=3.0), link("b", heard=1.0), link("", heard=2.0)]
+    links = [
+        link("a", last_reply_at=3.0),
+        link("b", last_reply_at=1.0),
+        link("", last_reply_at=2.0),
+    ]
     assert _link_choice.for_control(links) is links[1]
     assert _link_choice.for_control([]) is None
 
@@ -70,7 +76,7 @@
 
 
 def least_recently_used(links, *_):
-    return min(links, key=lambda t: t.used)
+    return min(links, key=lambda t: t.last_used_at)
 
 
 def opened(choose, seed):
@@ -85,14 +91,14 @@
         now = number / 30
         team = rng.choices(teams, weights)[0]
         seen.note(team, now)
-        taken = _link_choice.for_team(links, team, {})
-        if taken is None:
+        pooled = _link_choice.for_team(links, team, {})
+        if pooled is None:
             count += 1
             if len(links) == 6:
                 links.remove(choose(links, seen, {team}))
-            taken = link(team)
-            links.append(taken)
-        taken.used = now
+            pooled = link(team)
+            links.append(pooled)
+        pooled.last_used_at = now
     return count / 4000
 
 
--- a/packages/proxy/src/ferry_proxy/tests/test_promotions.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_promotions.py
@@ -282,7 +282,7 @@
     """Day trouble-2: a report asked for before a promotion came after it."""
     lab = fakes.Lab()
     lab.group.note_leader(_members.Leader("b", 2))
-    lab.group._find_leader({"b": report(REPLICA, 3, 0.0, term=1)})
+    lab.group._update_leader({"b": report(REPLICA, 3, 0.0, term=1)})
     assert lab.group.leader == _members.Leader("b", 2)
 
 
