--- a/packages/proxy/src/ferry_proxy/_control_commands.py
+++ b/packages/proxy/src/ferry_proxy/_control_commands.py
@@ -1,4 +1,4 @@
-"""Questions to members: control commands that are answered by a report."""
+"""Control commands to members, which reply with a status report."""
 
 import attrs
 import ferry_decisions as decisions
@@ -9,11 +9,12 @@
 from ferry_proxy import _policy
 from ferry_proxy import _pools
 
-STATUS_PRIORITY = 0  # Control links go before all statements in any case.
+# Has no effect: control commands precede all statements in the queue.
+STATUS_PRIORITY = 0
 
 
 class ControlCommands:
-    """Asks members over links of their pools."""
+    """Sends control commands over links of the members' pools."""
 
     def __init__(self, clock: _clocks.Clock, policy: _policy.Policy) -> None:
         self._clock = clock
@@ -25,7 +26,7 @@
         """Sends a control command to a member and returns its report.
 
         Raises:
-            decisions.RequestFailedError: The member did not report.
+            decisions.RequestFailedError: The member sent no report.
         """
         policy = self._policy
         until = self._clock.now() + policy.probe_timeout_s
--- a/packages/proxy/src/ferry_proxy/_forward_messages.py
+++ b/packages/proxy/src/ferry_proxy/_forward_messages.py
@@ -1,7 +1,7 @@
-"""Statements between nodes: an entry node asks, a serving node answers.
+"""Messages that forward statements from an entry node to a serving node.
 
-Fields are plain, as `msgpack` carries them; `of` and the methods beside it
-turn them from and into the proxy's types.
+Fields have plain types, as `msgpack` encodes them; `of` and the other methods
+convert between them and the proxy's types.
 """
 
 import attrs
@@ -22,33 +22,35 @@
 @_peer_messages.message("run?")
 @attrs.frozen(slots=True, repr=False)
 class RunRequest:
-    """Asks a serving node to run a statement.
+    """Requests that a serving node run a statement.
 
     Attributes:
-        route: The name of the route that the entry applies.
-        service: The group that serves it.
-        consistency: What its reads have to show.
-        priority: Its place in queues.
+        route: The name of the route that the entry node applies.
+        service: The group that serves the route.
+        consistency: The consistency of its reads.
+        priority: The queue priority; 0 goes first.
         timeout_s: The time limit of the statement, in seconds.
-        target_s: The latency that the operation aims at, in seconds.
-        max_staleness_s: How old the state may be that a read shows.
-        waited_s: How long the entry has had the statement.
-        request_id: The caller's id of it.
-        kind: What it does.
-        text: The statement as the caller wrote it.
+        target_s: The target latency of the operation, in seconds.
+        max_staleness_s: The maximum age of the state that a read may return.
+        waited_s: How long the entry node has held the statement, in seconds.
+        request_id: The caller's id of the statement.
+        kind: The kind of the statement.
+        text: The statement as written by the caller.
         name: The prepared statement that it names.
         value: The arguments of EXECUTE.
         prepared_writes: Whether the prepared statement writes.
-        prepared_shape: The prepared statement's text; None for others.
+        prepared_shape: The text of the prepared statement; None if there is
+            none.
         values: The session's values.
-        floor_term: The term of the session's own last commit.
-        floor_index: Its index; negative where there is none.
-        transaction: The entry's number of the transaction; 0 for none.
-        begins: Whether it is the transaction's first statement.
-        read_only: Whether the transaction only reads.
-        team: The team of the caller; empty where callers have none.
-        key_digest: What stands for the caller's key.
-        version: The entry's configuration, by which the key is the team's.
+        floor_term: The term of the session's last commit.
+        floor_index: The index of that commit; negative if there is none.
+        transaction: The entry node's number of the transaction; 0 for none.
+        begins: Whether it is the first statement of the transaction.
+        read_only: Whether the transaction is read-only.
+        team: The team of the caller; empty if callers have none.
+        key_digest: The digest of the caller's key.
+        version: The version of the entry node's configuration, which assigns
+            the key to the team.
     """
 
     route: str
@@ -85,7 +87,15 @@
         begins: bool = False,
         read_only: bool = False,
     ) -> "RunRequest":
-        """Returns the message for a request."""
+        """Returns the message that forwards a request.
+
+        Args:
+            request: The request.
+            now: The time, in the clock's seconds.
+            transaction: The number of its transaction; 0 for none.
+            begins: Whether it is the first statement of the transaction.
+            read_only: Whether the transaction is read-only.
+        """
         route = request.route
         statement = request.statement
         prepared = request.prepared
@@ -118,10 +128,10 @@
         )
 
     def request(self, clock: _clocks.Clock) -> _requests.Request:
-        """Returns the request, dated by this node's clocks.
+        """Returns the request, with its times on this node's clocks.
 
         Raises:
-            ValueError: A field has a value that no node sends.
+            ValueError: A field has an invalid value.
         """
         shape = self.prepared_shape
         return _requests.Request(
@@ -140,7 +150,7 @@
             route=self._route(),
             values=self.values,
             arrived=clock.now() - self.waited_s,
-            # Later than at the entry: a read shows at least what it must.
+            # Later than at the entry node, so that a read is never too stale.
             arrived_boot=clock.boot_now(),
             session_floor=_position(self.floor_term, self.floor_index),
             caller=_teams.Caller(self.team, self.key_digest, self.version),
@@ -162,23 +172,23 @@
 @_peer_messages.message("ran")
 @attrs.frozen(slots=True, repr=False)
 class RunReply:
-    """What became of a statement at a serving node.
+    """The result of a statement at a serving node.
 
     Attributes:
-        state: Where the session stands.
-        rows: The rows, as the member wrote them.
-        proof: The member's token of the run.
-        reason: The name of the reason of a failure; empty for success.
-        detail: Words on a failure.
+        state: The transaction state of the session.
+        rows: The rows, as encoded by the member.
+        proof: The member's execution token.
+        reason: The name of the failure reason; empty for success.
+        detail: The description of a failure.
         position_term: The term of the member's position.
-        position_index: Its index; negative where there is none.
-        member: The member that it was last handed to.
-        at_replica: Whether that was a replica.
-        attempts: How often it was handed to a member.
-        offered_after_s: Seconds from its arrival here until it was first
-            handed to a member; negative for never.
-        retry_after_s: When to ask again, in seconds; None where the reason
-            tells.
+        position_index: The index of that position; negative if there is none.
+        member: The member that it was last sent to.
+        at_replica: Whether that member was a replica.
+        attempts: How often it was sent to a member.
+        offered_after_s: Seconds from its arrival at the serving node until it
+            was first sent to a member; negative if it was not sent.
+        retry_after_s: The delay before a retry, in seconds; None if the reason
+            implies it.
     """
 
     state: str
@@ -202,8 +212,8 @@
 
         Args:
             reply: The reply.
-            progress: What became of the request.
-            received: When this node got it, in the clock's seconds.
+            progress: The progress of the request at this node.
+            received: When this node received it, in the clock's seconds.
         """
         position = reply.position
         offered = progress.offered_at
@@ -223,7 +233,7 @@
         )
 
     def reply(self) -> _links.Reply:
-        """Returns the reply; an unknown reason may have run."""
+        """Returns the reply; for an unknown reason, the outcome is unknown."""
         reason = None
         if self.reason:
             reason = decisions.BY_NAME.get(
@@ -242,12 +252,12 @@
     def note_progress(
         self, progress: _requests.Progress, sent: float, via: str
     ) -> None:
-        """Takes over what became of the request.
+        """Updates the entry node's progress record from this reply.
 
         Args:
-            progress: The entry's own record of it.
+            progress: The progress record of the request.
             sent: When it was sent to the serving node, in clock seconds.
-            via: The serving node.
+            via: The name of the serving node.
         """
         progress.via = via
         progress.member = self.member
@@ -260,7 +270,11 @@
 @_peer_messages.message("end")
 @attrs.frozen(slots=True, repr=False)
 class EndTransaction:
-    """Tells that a transaction has ended; what is open is rolled back."""
+    """Ends a transaction, which is rolled back if it is still open.
+
+    Attributes:
+        transaction: The entry node's number of the transaction.
+    """
 
     transaction: int
 
--- a/packages/proxy/src/ferry_proxy/_forwarder.py
+++ b/packages/proxy/src/ferry_proxy/_forwarder.py
@@ -1,4 +1,4 @@
-"""Which serving node gets the statements of an entry node's callers."""
+"""Choice of the serving node for the statements of an entry node."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -13,19 +13,19 @@
 from ferry_proxy import _records
 from ferry_proxy import _serving_plan
 
-SILENT_PEER_S = (
-    0.3  # A peer that owes an answer is heard several times in this, or
-)
-# is gone: others are preferred, and reads asked there.
+# A peer that owes a reply and was not heard from for this long is regarded as
+# gone, since a live one sends several messages in that time. Other nodes are
+# preferred to it, and its reads are sent to them.
+SILENT_PEER_S = 0.3
 
 
 class Stream(_peers.Peer, typing.Protocol):
-    """What forwarding needs of a stream to a serving node.
+    """The part of a stream to a serving node that forwarding depends on.
 
     Attributes:
-        services: The groups that the peer can serve well now.
-        missed: The groups that others serve and the peer has lost.
-        held: Transactions of this node that depend on the stream.
+        services: The groups that the peer can currently serve.
+        missed: The groups that other nodes serve and the peer cannot reach.
+        held: The number of this node's transactions that use the stream.
     """
 
     services: frozenset[str]
@@ -38,11 +38,11 @@
 
     @property
     def owed_s(self) -> float:
-        """Seconds since the peer was heard, while it owes an answer."""
+        """Seconds since the peer was heard from, while it owes a reply."""
 
     @property
     def waiting(self) -> int:
-        """Questions to the peer that have no answer yet."""
+        """The number of requests to the peer without a reply."""
 
 
 class Mesh(typing.Protocol):
@@ -66,17 +66,17 @@
         open_streams: Callable[[], object],
         homes: Callable[[], _homes.Homes],
     ) -> None:
-        """Makes a forwarder.
+        """Initializes the forwarder.
 
         Args:
             clock: The clock.
             policy: The tunables.
             own: The entry node.
             mesh: Its streams.
-            plan: Returns who serves a group.
-            seek: Called where no serving node is left: connects to those that
-                are `wanted` now.
-            homes: Returns where teams are at home.
+            plan: Returns the serving plan of a group.
+            open_streams: Called when no serving node is left; connects to the
+                nodes that are `wanted` now.
+            homes: Returns the home nodes of the teams.
         """
         self.clock = clock
         self.policy = policy
@@ -87,25 +87,25 @@
         self._plan = plan
 
     def is_served(self, service: str) -> bool:
-        """Whether a peer that was heard lately serves a group well."""
+        """Whether a responsive peer can currently serve a group."""
         return bool(self._serving_well(service))
 
     def is_missed(self, service: str) -> bool:
-        """Whether a serving node that was heard lately has lost a group."""
+        """Whether a responsive serving node reports a group as missed."""
         return any(
             service in s.missed and self._is_heard(s)
             for s in self._streams(service)
         )
 
     def wanted(self, service: str) -> list[_records.NodeEntry]:
-        """Returns the nodes to keep streams to: near ones, or all in need.
+        """Returns the nodes to keep streams to: nearby ones, or all if needed.
 
-        Where callers belong to teams, the statements of one go to one node,
-        near or far, and streams to all are kept.
+        If callers belong to teams, all statements of a team go to one node,
+        which may be remote, so streams to all nodes are kept.
 
-        A near one that has fallen silent serves nobody. Were it waited for
-        until its stream ends, 1.6 s after a cut, each statement meanwhile
-        would be refused.
+        A nearby node that stopped responding does not count. Its stream ends
+        only 1.6 s after a network partition, and every statement would be
+        refused until then.
         """
         plan = self._plan(service)
         if plan is None or self._own.name in plan.nodes:
@@ -123,12 +123,12 @@
         return list(plan.nodes.values())
 
     def choose(self, service: str, tried: set[str], team: str) -> Stream | None:
-        """Returns the stream to the best serving node.
+        """Returns the stream to the best serving node, or None.
 
         Args:
             service: The group.
-            tried: Nodes to pass over.
-            team: The caller's team; empty where callers have none.
+            tried: The names of nodes to skip.
+            team: The caller's team; empty if callers have none.
         """
         streams = [s for s in self._streams(service) if s.peer not in tried]
         heard = [s for s in streams if self._is_heard(s)]
@@ -151,11 +151,11 @@
         )
 
     def is_served_by_peer(self, service: str, team: str) -> bool:
-        """Whether a team's statements run at a peer, and not at this node.
+        """Whether a team's statements run at a peer instead of this node.
 
         Args:
-            service: A group that this node serves well.
-            team: The caller's team; empty where callers have none.
+            service: A group that this node can currently serve.
+            team: The caller's team; empty if callers have none.
         """
         plan = self._plan(service)
         if plan is None or not team:
@@ -166,7 +166,7 @@
         return first != self._own.name
 
     def _serving_well(self, service: str) -> list[Stream]:
-        """Returns the streams to peers that serve a group well now."""
+        """Returns the streams to responsive peers that can serve a group."""
         return [
             s
             for s in self._streams(service)
--- a/packages/proxy/src/ferry_proxy/_forwarding.py
+++ b/packages/proxy/src/ferry_proxy/_forwarding.py
@@ -1,7 +1,8 @@
-"""Statements of callers whose group other nodes serve.
+"""Forwarding of statements to the nodes that serve their group.
 
-An entry node sends each statement to a serving node, near ones first. What
-did not run there may be sent to another one, while there is time.
+An entry node sends each statement to a serving node, preferring nearby ones. A
+statement that did not run there may be sent to another node within its time
+limit.
 """
 
 import itertools
@@ -17,18 +18,21 @@
 from ferry_proxy import _requests
 from ferry_proxy import _statements
 
-ANSWER_MARGIN_S = 0.05  # The serving node's own verdict arrives first.
-STREAM_POLL_S = 0.03  # A new stream is there after two network trips.
-STREAM_OPEN_WAIT_S = (
-    0.15  # New streams to all serving nodes are there, or none will be:
-)
-# refusing at once, 470 statements heard within 1.4 s of a partition that
-# nobody serves them, and callers spent all their retries so.
+# Added to a statement's time limit, so that the serving node's own reply on a
+# timeout arrives first.
+ANSWER_MARGIN_S = 0.05
+# The interval for checking for a new stream, which takes two network trips.
+STREAM_POLL_S = 0.03
+# A request without a serving node waits this long after streams to all serving
+# nodes were requested; one not open by then will not open. When statements were
+# refused at once, 470 failed within 1.4 s of a partition because no node served
+# them, and callers used up all their retries.
+STREAM_OPEN_WAIT_S = 0.15
+# The shortest interval between two checks for a silent peer.
 MIN_SILENCE_POLL_S = 0.01
 
-
-# What another serving node may do better: this one lacks the members, stops,
-# or lost its own link.
+# Failures after which another serving node may succeed: this one cannot reach
+# the members, is stopping or lost its own link.
 RETRY_ELSEWHERE = frozenset(
     {
         decisions.NO_PRIMARY,
@@ -40,20 +44,20 @@
 )
 
 
-# What a lost answer means where it leaves nothing behind: a read is asked
-# elsewhere, and a transaction whose COMMIT was not sent is rolled back.
+# Reasons reported for a lost reply when the statement has no lasting effect: a
+# read is sent elsewhere, and a transaction without a COMMIT is rolled back.
 SAFE_TO_ABANDON = frozenset({decisions.READ_CUT, decisions.TRANSACTION_LOST})
 
 
 class RemoteRunner:
-    """Runs one group's statements at its serving nodes."""
+    """Runs the statements of one group at its serving nodes."""
 
     def __init__(self, forwarder: _forwarder.Forwarder, service: str) -> None:
         self._forwarder = forwarder
         self._service = service
 
     def run(self, request: _requests.Request) -> "decisions.Flow[_links.Reply]":
-        """Runs a statement; one that may have run is not sent twice."""
+        """Runs a statement; a write that may have run is not sent again."""
         search = Search(self._forwarder, self._service, request)
         lost = decisions.ANSWER_LOST if request.writes else decisions.READ_CUT
         reply: _links.Reply | None = None
@@ -63,7 +67,7 @@
             except decisions.RequestFailedError:
                 if reply is None:
                     raise
-                return reply  # What the last one said is still true.
+                return reply  # The failure at the last node still holds.
             body = _forward_messages.RunRequest.of(
                 request, self._forwarder.clock.now()
             )
@@ -78,7 +82,7 @@
 
 
 class Search:
-    """The serving nodes that one request is sent to, one after another."""
+    """Selects the serving nodes for one request, one after another."""
 
     def __init__(
         self,
@@ -94,10 +98,10 @@
         self._has_opened_streams = False
 
     def next(self) -> "decisions.Flow[_forwarder.Stream]":
-        """Returns the next serving node; waits for a first one.
+        """Returns the stream to the next serving node, waiting for one.
 
         Raises:
-            decisions.RequestFailedError: None could be reached in time.
+            decisions.RequestFailedError: No node could be reached in time.
         """
         forwarder = self._forwarder
         while True:
@@ -112,7 +116,7 @@
             yield decisions.sleep(forwarder.clock, STREAM_POLL_S)
 
     def may_try_another(self, reply: _links.Reply) -> bool:
-        """Whether what a reply says did not run is sent to another node."""
+        """Whether to send the request to another node after this reply."""
         if reply.reason not in RETRY_ELSEWHERE:
             return False
         end = self._hold_end
@@ -130,7 +134,7 @@
         )
 
     def _open_streams(self) -> None:
-        """Connects to serving nodes that there is no stream to, once."""
+        """Opens streams to the wanted serving nodes, once per request."""
         self._has_opened_streams = True
         self._forwarder.open_streams()
         seek_end = self._forwarder.clock.now() + STREAM_OPEN_WAIT_S
@@ -152,8 +156,8 @@
         clock: The clock.
         stream: The stream to the serving node.
         body: The message.
-        request: What it is for; its progress is kept up to date.
-        lost: The reason where no answer comes of what was sent.
+        request: The request; its progress is updated.
+        lost: The reason to report if the message was sent but not answered.
     """
     sent = clock.now()
     limit = max(0.0, request.deadline - sent) + ANSWER_MARGIN_S
@@ -181,10 +185,11 @@
     stream: _forwarder.Stream,
     fut: "decisions.Future[_peer_messages.Message]",
 ) -> "decisions.Flow[_peer_messages.Message]":
-    """Waits for an answer for as long as the peer shows life.
+    """Waits for a reply while the peer keeps sending messages.
 
     Raises:
-        PeerLostError: The peer fell silent; a read may be asked elsewhere.
+        PeerLostError: The peer stopped responding; a read may be sent to
+            another node.
     """
     while not fut.done():
         left_s = max(
@@ -198,7 +203,7 @@
 
 
 def _unsent_reason(body: _forward_messages.RunRequest) -> decisions.Reason:
-    """Returns the reason for what never left this node."""
+    """Returns the failure reason for a message that was not sent."""
     if body.transaction and not body.begins:
         return decisions.TRANSACTION_LOST
     return decisions.NO_CONNECTION
@@ -213,7 +218,12 @@
 
 
 class RemoteTransaction:
-    """A transaction that a serving node holds for this one."""
+    """A transaction that a serving node runs for this node.
+
+    Attributes:
+        failure: Why the transaction failed; None while it has not.
+        used: When it last ran a statement, in the clock's seconds.
+    """
 
     def __init__(
         self, forwarder: _forwarder.Forwarder, service: str, read_only: bool
@@ -234,11 +244,11 @@
 
     @property
     def holds_link(self) -> bool:
-        """Whether a serving node holds it."""
+        """Whether the transaction is open at a serving node."""
         return self._stream is not None
 
     def run(self, request: _requests.Request) -> "decisions.Flow[_links.Reply]":
-        """Runs a statement of it, its COMMIT included."""
+        """Runs a statement of the transaction, COMMIT included."""
         if self._stream is None:
             reply = yield from self._open(request)
         else:
@@ -251,13 +261,13 @@
         return reply
 
     def fail(self, reason: decisions.Reason) -> None:
-        """Ends it at the serving node; the caller has yet to end it."""
+        """Rolls it back at the serving node; the caller must still end it."""
         if self.failure is None:
             self.failure = reason
         self.roll_back()
 
     def roll_back(self) -> None:
-        """Has the serving node roll it back."""
+        """Tells the serving node to roll it back."""
         stream = self._release()
         if stream is not None and not stream.closed:
             stream.tell(_forward_messages.EndTransaction(self._number))
@@ -271,7 +281,7 @@
     def _open(
         self, request: _requests.Request
     ) -> "decisions.Flow[_links.Reply]":
-        """Sends the first statement; what did not run may go elsewhere."""
+        """Sends the first statement, trying other nodes if it did not run."""
         search = Search(self._forwarder, self._service, request)
         while True:
             stream = yield from search.next()
@@ -293,7 +303,7 @@
             self._wrote = True
         is_commit = request.statement.kind is _statements.Kind.COMMIT
         unsure = is_commit and self._wrote
-        # A stream that ends makes the serving node roll back.
+        # The serving node rolls back when the stream ends.
         lost = decisions.ANSWER_LOST if unsure else decisions.TRANSACTION_LOST
         body = _forward_messages.RunRequest.of(
             request,
--- a/packages/proxy/src/ferry_proxy/_freshness.py
+++ b/packages/proxy/src/ferry_proxy/_freshness.py
@@ -1,12 +1,12 @@
-"""How fresh a read is: floors that cover all commits up to a moment.
+"""Freshness of reads: floors that cover all commits up to a point in time.
 
 A commit is acknowledged once `sync_replicas` replicas have received it. A
 change of primary first pauses a fence of replicas (`fence_size`), so that no
-later commit of the old term can be acknowledged. Two facts follow.
+further commit of the old term can be acknowledged. This has two consequences:
 
-* `proof_size` replicas that were not paused, asked at a moment, prove that
-  the term had not been replaced then: they meet every fence.
-* The end of the primary's log, asked at that moment, covers every commit
+* If `proof_size` replicas report that they are not paused, the term had not
+  been replaced when they were asked: every fence includes one of them.
+* The end of the primary's log, requested at the same time, covers every commit
   acknowledged before.
 """
 
@@ -19,31 +19,36 @@
 
 
 def proof_size(replicas: int, sync_replicas: int) -> int:
-    """Returns how many unpaused replicas prove that a term goes on.
+    """Returns how many unpaused replicas prove that a term is current.
 
-    All but one: a replica that joined a cut-off primary after the fence was
-    raised is not paused, and must not prove anything by itself.
+    All but one are needed. A replica that joined an isolated primary after the
+    fence was established is not paused, and must not suffice by itself.
 
     Args:
-        replicas: How many the group has, without the primary.
-        sync_replicas: How many must receive a commit.
+        replicas: The number of replicas in the group.
+        sync_replicas: How many replicas must receive a commit.
     """
     return max(1, sync_replicas, replicas - 1)
 
 
 def fence_size(replicas: int, sync_replicas: int) -> int:
-    """Returns how many paused replicas end the acknowledgements of a term.
+    """Returns how many replicas to pause so that a term can commit nothing.
 
     Args:
-        replicas: How many the group has, without the primary.
-        sync_replicas: How many must receive a commit.
+        replicas: The number of replicas in the group.
+        sync_replicas: How many replicas must receive a commit.
     """
     return max(1, replicas - max(1, sync_replicas) + 1)
 
 
 @attrs.frozen(slots=True)
 class Sample:
-    """A position that covers all commits acknowledged before a moment."""
+    """A floor for all commits acknowledged before a point in time.
+
+    Attributes:
+        at: The point in time, in seconds of boot time.
+        floor: A position at or after all of these commits.
+    """
 
     at: float
     floor: decisions.Position
@@ -54,14 +59,14 @@
     reports: dict[str, _members.Report],
     needed: int,
 ) -> Sample | None:
-    """Returns what one round of reports proves; None where they do not.
+    """Returns the sample that a round of reports proves, or None.
 
-    Without the primary's own report there is none: the replicas that are
-    listed need not be all that a cut-off primary has.
+    The primary's own report is required: an isolated primary may have replicas
+    that are not listed.
 
     Args:
-        leader: Who is believed to lead.
-        reports: The answers of the round, by member.
+        leader: The primary as far as known.
+        reports: The reports of the round, by member.
         needed: How many replicas prove that the primary still leads.
     """
     own = reports.get(leader.member)
@@ -85,7 +90,8 @@
 class Floors:
     """The recent samples of one group."""
 
-    MAX_SAMPLES = 64  # At 2.5 a second, more than any staleness that is set.
+    # At 2.5 samples per second, this covers more than any configured staleness.
+    MAX_SAMPLES = 64
 
     def __init__(self) -> None:
         self._samples: collections.deque[Sample] = collections.deque(
@@ -94,14 +100,14 @@
         self._term = 0
 
     def add(self, sample: Sample, term: int) -> None:
-        """Takes a sample in; older ones than the newest are passed over.
+        """Adds a sample unless it is older than the newest one.
 
         Samples of an earlier term are dropped: they may cover commits that
-        were never acknowledged and that no member shows any more.
+        were never acknowledged and that no member has any longer.
 
         Args:
-            sample: What a round proved.
-            term: The term of the primary that it was proved for.
+            sample: The result of a round.
+            term: The term of the primary in that round.
         """
         if term > self._term:
             self._term = term
@@ -111,14 +117,17 @@
 
     @property
     def newest(self) -> Sample | None:
-        """The newest sample."""
+        """The newest sample, or None if there is none."""
         return self._samples[-1] if self._samples else None
 
     def covering(self, moment: float) -> decisions.Position | None:
         """Returns a floor for all commits acknowledged before `moment`.
 
-        It is the oldest that does, since that is the one that most replicas
-        already show. None where no sample is that new.
+        Returns the oldest such floor, since most replicas have reached it, or
+        None if no sample is recent enough.
+
+        Args:
+            moment: The point in time, in seconds of boot time.
         """
         for sample in self._samples:
             if sample.at >= moment:
--- a/packages/proxy/src/ferry_proxy/_groups.py
+++ b/packages/proxy/src/ferry_proxy/_groups.py
@@ -1,4 +1,4 @@
-"""One group of members as this node sees it: links, leader and floors."""
+"""This node's view of one database group: pools, primary and floors."""
 
 from collections.abc import Callable
 
@@ -16,16 +16,16 @@
 from ferry_proxy import _proofs
 from ferry_proxy import _queueing
 
-STATUS_ROUND_S = (
-    0.12  # Calm members answer in 5 ms; waiting readers need a floor.
-)
-MEMBERSHIP_CHANGE_S = (
-    10.0  # Members are replaced one after the other, seconds apart.
-)
+# A status round is evaluated after this long. Members without load answer in
+# 5 ms, and waiting reads need the floor that the round yields.
+STATUS_ROUND_S = 0.12
+# Members are replaced one after another, seconds apart. For this long after
+# one joins, more may have joined than are listed.
+MEMBERSHIP_CHANGE_S = 10.0
 
 
 class Group:
-    """The members of one service, and what is known of them."""
+    """The members of one service and their last known state."""
 
     def __init__(
         self,
@@ -70,12 +70,12 @@
         limit: int,
         nodes: int = 1,
     ) -> None:
-        """Takes in which members the group has, and who shares them.
+        """Applies the current member list.
 
         Args:
             members: All members, by id.
             limit: How many links to each this node may open.
-            nodes: How many nodes send them statements.
+            nodes: How many nodes send statements to the members.
         """
         now = self._clock.now()
         if self.pools.keys() != members.keys():
@@ -101,17 +101,17 @@
         self.share_among(nodes)
 
     def share_among(self, nodes: int) -> None:
-        """Sets how many nodes send the members statements now.
+        """Sets how many nodes currently send statements to the members.
 
-        In a data centre that is cut off the slots of its members are left to
-        its own nodes.
+        In a data centre that is cut off, only its own nodes share the slots of
+        its members.
         """
         for pool in self.pools.values():
             slots = pool.member.slots
             pool.parallel = _queueing.parallel_statements(slots, nodes)
 
     def open_pool(self, member: _members.Member, limit: int = 1) -> _pools.Pool:
-        """Returns new links to a member, listed or not."""
+        """Returns a new pool for a member, which need not be listed."""
         return _pools.Pool(
             self._clock, member, self._connector, self._policy, limit
         )
@@ -127,10 +127,10 @@
             self._lose_leader()
 
     def _forget_restarted(self, pool: _pools.Pool) -> None:
-        """Drops all that is believed of a member that began again.
+        """Discards all state of a member whose process has restarted.
 
-        Its next life is no longer paused, and may be empty. It counts as a
-        further replica for a while, as one does that joins under a new name.
+        The new process is not paused and may be empty. It counts as a further
+        replica for a while, as one does that joins under a new name.
         """
         name = pool.member.id
         pool.close()
@@ -145,40 +145,40 @@
 
     @property
     def leader_pool(self) -> _pools.Pool | None:
-        """The links to the primary, if one is known."""
+        """The pool of the primary, or None if no primary is known."""
         return self.pools.get(self.leader.member) if self.leader else None
 
     @property
     def replicas(self) -> int:
-        """How many members are listed besides the primary."""
+        """The number of listed members other than the primary."""
         return max(0, len(self.pools) - 1)
 
     @property
     def recently_restarted(self) -> int:
-        """How many members began again a short while ago."""
+        """How many members restarted within `MEMBERSHIP_CHANGE_S`."""
         late = self._clock.now() - MEMBERSHIP_CHANGE_S
         return sum(at > late for at in self.restarted_at.values())
 
     @property
     def proof_size(self) -> int:
-        """How many replicas prove that a primary still leads."""
+        """How many replicas must confirm that the primary still leads."""
         replicas = self.replicas + self.recently_restarted
         return _freshness.proof_size(replicas, self.service.sync_replicas)
 
     @property
     def is_membership_changing(self) -> bool:
-        """Whether members come and go; more may have come than are listed."""
+        """Whether members join or leave; some may not be listed yet."""
         if any(p.member.draining for p in self.pools.values()):
             return True
         return self._clock.now() - self.member_joined_at < MEMBERSHIP_CHANGE_S
 
     @property
     def is_primary_changing(self) -> bool:
-        """Whether a change of primary is believed to be under way or near.
+        """Whether a change of primary is in progress or expected.
 
-        A primary that has fallen silent is back or replaced within a second
-        or two; callers wait for that rather than use up their retries. One
-        that is silent for longer is not being replaced, and nobody waits.
+        A primary that stops responding recovers or is replaced within a second
+        or two, so callers wait instead of using up their retries. One that
+        stays silent for longer is not being replaced, and nobody waits.
         """
         now = self._clock.now()
         if now < self.primary_change_until:
@@ -191,7 +191,7 @@
 
     @property
     def floor_age_s(self) -> float:
-        """Seconds since the newest floor covered all commits."""
+        """Age in seconds of the newest floor that covers all commits."""
         newest = self.floors.newest
         if newest is None:
             return float("inf")
@@ -199,7 +199,7 @@
 
     @property
     def has_failed_contact(self) -> bool:
-        """Whether contact with a member failed and has not come back."""
+        """Whether contact with any member failed and has not recovered."""
         return any(p.contact.troubled_s > 0 for p in self.pools.values())
 
     def is_near(self, pool: _pools.Pool) -> bool:
@@ -207,30 +207,31 @@
         return pool.member.data_centre == self._data_centre
 
     def is_responsive(self, pool: _pools.Pool) -> bool:
-        """Whether a member answers what it is sent, as far as is known."""
+        """Whether a member is reachable and owes no overdue reply."""
         return not pool.is_unreachable and not pool.contact.is_quiet
 
     def expect_primary_change(self) -> None:
-        """Notes that a change of primary has begun."""
+        """Records that a change of primary has begun."""
         self.primary_change_until = (
             self._clock.now() + self._policy.promote_wait_s
         )
 
     def until_leader_changes(self, limit_s: float) -> "decisions.Future[None]":
-        """Returns a future that is done at a new leader or after a time."""
+        """Returns a future that resolves on a new leader or a timeout."""
         timer = decisions.sleep(self._clock, limit_s)
         return decisions.either(self._changed, timer)
 
-    # -- questions -------------------------------------------------------
+    # -- control commands ------------------------------------------------
 
     def refresh(self) -> "decisions.Future[dict[str, _members.Report]]":
-        """Asks all members for their status, in a round begun from now on."""
+        """Joins the next status round, which starts after this call."""
         return self._rounds.join()
 
     def prove(self) -> "decisions.Future[_members.Leader]":
-        """Proves that the leader still leads, by answers from now on.
+        """Confirms, by replies to new status requests, that the leader leads.
 
-        Fails with `decisions.RequestFailedError` where no proof is to be had.
+        The future fails with `decisions.RequestFailedError` if too few
+        replicas confirm it.
         """
         return self._proofs.prove()
 
@@ -240,20 +241,23 @@
         """Sends a control command to a member and returns its report.
 
         Raises:
-            decisions.RequestFailedError: The member did not report.
+            decisions.RequestFailedError: The member sent no report.
         """
         report = yield from self._control_commands.ask(pool, command)
         self._last_report[pool.member.id] = report
         return report
 
     def last_report(self, member: str) -> _members.Report | None:
-        """Returns the newest report of a member."""
+        """Returns the latest report of a member, or None."""
         return self._last_report.get(member)
 
-    # -- rounds ----------------------------------------------------------
+    # -- status rounds ---------------------------------------------------
 
     def _round(self) -> "decisions.Flow[dict[str, _members.Report]]":
-        """Asks for at most `STATUS_ROUND_S`; later answers are still taken in."""
+        """Requests status from members, waiting at most `STATUS_ROUND_S`.
+
+        Reports that arrive later are still applied.
+        """
         self.last_round_at = self._clock.now()
         reports: dict[str, _members.Report] = {}
         futs = [
@@ -273,9 +277,11 @@
         return reports
 
     def _members_to_ask(self) -> list[_pools.Pool]:
-        """Returns the primary and one replica, by turns; all in trouble.
+        """Returns the members to request status from in this round.
 
-        Each question costs its member a slot for a moment.
+        Normally the primary, as many replicas as a proof needs, in rotation,
+        and members not heard from lately; all if the primary is in doubt. Each
+        request briefly occupies a slot of its member.
         """
         pools = [p for n, p in self.pools.items() if n not in self._asking]
         leader = self.leader_pool
@@ -300,7 +306,7 @@
     def _ask_with_retry(
         self, pool: _pools.Pool, reports: dict[str, _members.Report]
     ) -> "decisions.Flow[None]":
-        """Asks again over another link: one lost link is no lost member."""
+        """Retries once over another link, as a lost link is no lost member."""
         name = pool.member.id
         self._asking.add(name)
         try:
@@ -330,12 +336,12 @@
         sample: _freshness.Sample,
         heard: float,
     ) -> None:
-        """Takes in what a peer found out.
+        """Applies the result of a peer's survey.
 
         Args:
-            leader: Who leads, as the peer knows.
+            leader: The leader known to the peer.
             sample: A floor, with its time in this node's boot time.
-            heard: When the peer heard the primary, in the clock's seconds.
+            heard: When the peer heard from the primary, in clock seconds.
         """
         self.note_leader(leader)
         if self.leader != leader:
@@ -360,7 +366,7 @@
         leader = self.leader
         own = reports.get(leader.member) if leader else None
         if leader is None or own is None or own.term < leader.term:
-            return  # An answer that was late says nothing of this term.
+            return  # A late report from an earlier term.
         if own.role is _members.Role.REPLICA:
             _events.emit(
                 _events.LeaderLost(self.service.name, leader.member, own.term)
@@ -368,7 +374,7 @@
             self._lose_leader()
 
     def note_leader(self, leader: _members.Leader) -> None:
-        """Takes in who leads, unless a later term is known."""
+        """Sets the leader unless one of the same or a later term is known."""
         known = self.leader
         newer = known is None or leader.term > known.term
         if leader.term < self.term or not newer:
--- a/packages/proxy/src/ferry_proxy/_hedged_reads.py
+++ b/packages/proxy/src/ferry_proxy/_hedged_reads.py
@@ -1,7 +1,8 @@
-"""Reads outside of transactions: asked at one member, at others if silent.
+"""Hedged reads outside of transactions.
 
-Answers lost answers, silent links and slow members: a read may run at several
-members, so it is asked again where a member says nothing for a while.
+A read may run at several members. It is sent to another member if the first
+does not reply for a while, so that lost replies, dead links and slow members
+do not delay it for long.
 """
 
 import ferry_decisions as decisions
@@ -14,12 +15,18 @@
 from ferry_proxy import _pooled_links
 from ferry_proxy import _pools
 
-MAX_HEDGES = 2  # Further members that a read is asked at while one is silent.
-SILENT_LINK_TIMEOUT_S = 2.0  # A link without an answer for so long is closed.
+# Additional members that a read is sent to while earlier ones do not reply.
+MAX_HEDGES = 2
+# A link is closed if a reply is outstanding for this long.
+SILENT_LINK_TIMEOUT_S = 2.0
 
 
 class HedgedRead:
-    """A read asked at one member, and at others when that one is silent."""
+    """A read at one member, and at others while that one does not reply.
+
+    Attributes:
+        outcome: The first successful reply, or the failure of the read.
+    """
 
     def __init__(
         self,
@@ -91,7 +98,7 @@
         fut.add_done_callback(lambda _: timer.cancel())
 
     def _hedge(self) -> None:
-        """Asks one more member while the others are silent."""
+        """Sends the read to one more member if no reply has arrived."""
         if self.outcome.done() or not self._running:
             return
         if self._hedges < MAX_HEDGES:
@@ -112,7 +119,7 @@
         if reply is not None and reply.reason is None:
             decisions.resolve(self.outcome, reply)
         elif self._running:
-            return  # Another member may still answer.
+            return  # Another member may still reply.
         elif self._may_retry(reply, exc):
             self._clock.after(self._retry_delay_s(reply, exc), self._retry)
         elif reply is not None:
@@ -138,9 +145,9 @@
     def _retry_delay_s(
         self, reply: _links.Reply | None, exc: BaseException | None
     ) -> float:
-        """Returns how long to wait: not at all while members are untried."""
+        """Returns the delay before a retry: none while members are untried."""
         if _is_overloaded(exc):
-            return 0.0  # Another member is left, and is asked at once.
+            return 0.0  # Another member is left; it is tried at once.
         failure = exc if isinstance(exc, decisions.RequestFailedError) else None
         if failure is not None and failure.reason is decisions.NO_PRIMARY:
             return _execution.NO_FLOOR_PAUSE_S
--- a/packages/proxy/src/ferry_proxy/_jobs.py
+++ b/packages/proxy/src/ferry_proxy/_jobs.py
@@ -1,4 +1,4 @@
-"""A request at a node that serves its group."""
+"""A request and the database group that serves it."""
 
 import attrs
 import ferry_decisions as decisions
@@ -11,17 +11,17 @@
 
 @attrs.frozen(slots=True, eq=False, kw_only=True)
 class Job(_requests.Request):
-    """A request, and the members that may run it.
+    """A request to run at the members of a group.
 
     Attributes:
-        group: The members that serve the route.
+        group: The group that serves the route.
     """
 
     group: _groups.Group
 
     @classmethod
     def of(cls, request: _requests.Request, group: _groups.Group) -> "Job":
-        """Returns the job of a request; the two share their progress."""
+        """Returns a job for a request; both share one progress record."""
         return cls(
             statement=request.statement,
             prepared=request.prepared,
@@ -36,14 +36,14 @@
         )
 
     def hold_end(self, policy: _policy.Policy) -> float:
-        """Returns until when it may wait for a member, in clock seconds."""
+        """Returns how long it may wait for a member, as a clock time."""
         group = self.group
         return self.hold_until(
             policy, group.is_primary_changing, group.leader_found_at
         )
 
     def note_handed(self, member: str, now: float) -> None:
-        """Takes in that it goes to a member now."""
+        """Records that the request is now sent to a member."""
         leader = self.group.leader
         at_replica = leader is None or leader.member != member
         self.progress.note_handed(member, at_replica, now)
@@ -51,5 +51,10 @@
     def command(
         self, floor: decisions.Position | None, prepared_as: str
     ) -> _links.Run:
-        """Returns the command that runs it."""
+        """Returns the link command that runs the statement.
+
+        Args:
+            floor: The position that the member must have applied.
+            prepared_as: The name of the prepared statement on the link.
+        """
         return _links.Run(self.statement, floor, prepared_as)
--- a/packages/proxy/src/ferry_proxy/_link_choice.py
+++ b/packages/proxy/src/ferry_proxy/_link_choice.py
@@ -1,7 +1,7 @@
-"""Which link of a pool a request gets, and which one makes room for another.
+"""Selection of the link for a request and of the link to close.
 
-Answers members that take fewer connections than there are teams: a link runs
-the statements of one team alone, and opening one costs the member a slot for
+Members accept fewer connections than there are teams. A link runs the
+statements of a single team, and opening one occupies a slot of the member for
 about as long as a short statement. Pure functions of a pool's idle links.
 """
 
@@ -11,23 +11,24 @@
 
 from ferry_proxy import _pooled_links
 
-USE_DECAY_S = (
-    4.0  # Uses are forgotten so fast; a wave of traffic takes 11 s, and
-)
-# a team that sends ten statements a second is known within half a second.
-IDLE_LINK_S = (
-    5.0  # A new connection costs 12 ms of a slot; bursts last seconds.
-)
-MIN_IDLE_LINKS = 2  # One for statements, one for status questions.
-MIN_USE_WEIGHT = 0.01  # A use of 18 s ago.
+# Time constant of the exponential decay of a team's use. A wave of traffic
+# lasts 11 s, and a team that sends ten statements per second is recognized
+# within half a second.
+USE_DECAY_S = 4.0
+# A link unused for this long may be closed. Opening one occupies a slot for
+# 12 ms, and bursts last seconds.
+IDLE_LINK_S = 5.0
+MIN_IDLE_LINKS = 2  # One for statements and one for status requests.
+# A smaller weight is dropped; a single use decays to it in 18 s.
+MIN_USE_WEIGHT = 0.01
 
 PooledLink = _pooled_links.PooledLink
 
 
 def for_control(idle: Collection[PooledLink]) -> PooledLink | None:
-    """Returns the link for a question of ours: whichever was silent longest.
+    """Returns the link for a control command: the one silent for longest.
 
-    A question is asked in nobody's name, and checks the link as well.
+    A control command belongs to no team, and verifies the link as well.
     """
     return min(idle, key=lambda t: t.last_reply_at, default=None)
 
@@ -35,12 +36,12 @@
 def for_team(
     idle: Collection[PooledLink], team: str, values: dict[str, str]
 ) -> PooledLink | None:
-    """Returns the link of a team that needs the least to be set on it.
+    """Returns the team's link whose session state needs the fewest changes.
 
     Args:
-        idle: The links that are free.
-        team: The team in whose name the statement runs.
-        values: Its session's values.
+        idle: The idle links.
+        team: The team whose statement is to run.
+        values: The values of its session.
     """
     return min(
         (t for t in idle if t.team == team),
@@ -50,10 +51,10 @@
 
 
 def unneeded(idle: Collection[PooledLink], now: float) -> list[PooledLink]:
-    """Returns the links that nobody needed for a while, but for a few.
+    """Returns the links unused for `IDLE_LINK_S`, except for a few.
 
     Args:
-        idle: The links that are free.
+        idle: The idle links.
         now: The time, in the clock's seconds.
     """
     spare = max(0, len(idle) - MIN_IDLE_LINKS)
@@ -62,23 +63,23 @@
 
 
 class TeamUsage:
-    """How often teams have asked for a pool's links lately."""
+    """How often each team has recently requested a link of a pool."""
 
     def __init__(self) -> None:
         self._weights: dict[str, float] = {}
         self._at = 0.0
 
     def note(self, team: str, now: float) -> None:
-        """Takes in that a statement of a team asks for a link."""
+        """Records that a statement of a team requests a link."""
         self._fade(now)
         self._weights[team] = self._weights.get(team, 0.0) + 1.0
 
     def of(self, team: str) -> float:
-        """Returns how often a team did, on a scale of this pool's own."""
+        """Returns a team's request weight, comparable within this pool."""
         return self._weights.get(team, 0.0)
 
     def _fade(self, now: float) -> None:
-        """Forgets a part; what is next to nothing is dropped."""
+        """Decays all weights and drops negligible ones."""
         factor = math.exp((self._at - now) / USE_DECAY_S)
         self._at = now
         self._weights = {
@@ -91,16 +92,16 @@
 def to_close(
     idle: Collection[PooledLink], uses: TeamUsage, waited_for: Collection[str]
 ) -> PooledLink | None:
-    """Returns the link that makes room: the one likely to be idle longest.
+    """Returns the link to close: the one expected to stay idle for longest.
 
-    That is a second one that a team leaves idle, or else the one of the team
-    that asks least. Were it the one least recently used, teams that ask seldom
-    would take the links of those that ask often, by turns.
+    A team's second idle link goes first, then the link of the team with the
+    fewest requests. Closing the least recently used one instead would let
+    teams with few requests evict, in turn, the links of those with many.
 
     Args:
-        idle: The links that are free.
-        uses: How often the teams ask for one.
-        waited_for: Teams whose statements wait; their links go last.
+        idle: The idle links.
+        uses: The teams' recent use of links.
+        waited_for: Teams with waiting statements; their links go last.
     """
     counts = collections.Counter(t.team for t in idle)
     return min(
--- a/packages/proxy/src/ferry_proxy/_link_queue.py
+++ b/packages/proxy/src/ferry_proxy/_link_queue.py
@@ -1,4 +1,4 @@
-"""Who waits for a link of a pool: by priority, then first come first served."""
+"""Queue of requests for links of a pool: by priority, then by arrival."""
 
 from collections.abc import Iterator
 import enum
@@ -11,26 +11,26 @@
 
 
 class Use(enum.Enum):
-    """What a link is wanted for."""
+    """The purpose of a link request."""
 
     CONTROL = "control"
     STATEMENT = "statement"
     TRANSACTION = "transaction"
 
 
-CONTROL_RANK = -1  # Questions of ours go before all statements.
+CONTROL_RANK = -1  # Control commands precede all statements.
 
 
 @attrs.define(slots=True, eq=False)
 class Waiter:
-    """A request that waits for a link.
+    """A request waiting for a link.
 
     Attributes:
-        rank: Its place in the queue; the lowest goes first.
+        rank: The queue rank; the lowest goes first.
         use: What the link is for.
-        team: In whose name the link has to be.
-        values: The session's values, to prefer a link that has them.
-        fut: Done with the link.
+        team: The team that the link must belong to.
+        values: The session's values; a link that has them is preferred.
+        fut: Resolved with the link.
     """
 
     rank: int
@@ -41,55 +41,55 @@
 
     @property
     def is_done(self) -> bool:
-        """Whether it waits no longer."""
+        """Whether the request got its link, failed or was canceled."""
         return self.fut.done()
 
 
 class LinkQueue:
-    """Those who wait, in order."""
+    """The waiting requests of a pool."""
 
     def __init__(self) -> None:
         self._entries: list[tuple[int, int, Waiter]] = []
         self._numbers = itertools.count()
 
     def __len__(self) -> int:
-        """Returns how many wait."""
+        """Returns the number of waiting requests."""
         return sum(1 for _ in self)
 
     def __iter__(self) -> Iterator[Waiter]:
-        """Yields those who wait, in no order."""
+        """Yields the waiting requests in no particular order."""
         return (w for _, _, w in self._entries if not w.is_done)
 
     @property
     def teams(self) -> set[str]:
-        """The teams whose links are waited for."""
+        """The teams with waiting requests."""
         return {w.team for w in self}
 
     def add(self, waiter: Waiter) -> None:
-        """Puts one behind all of its rank."""
+        """Appends a request behind all others of its rank."""
         self._entries.append((waiter.rank, next(self._numbers), waiter))
 
     def in_order(self) -> list[Waiter]:
-        """Returns those who wait, the first in front; forgets the others."""
+        """Returns the waiting requests in order and drops completed ones."""
         self._entries = sorted(e for e in self._entries if not e[2].is_done)
         return [w for _, _, w in self._entries]
 
     def ahead_of(self, rank: int) -> int:
-        """Returns how many go before one that comes now."""
+        """Returns how many requests precede a new one of this rank."""
         return sum(w.rank <= rank for w in self)
 
     def clear(self) -> list[Waiter]:
-        """Empties the queue; returns who waited."""
+        """Empties the queue and returns the requests that were waiting."""
         waited = list(self)
         self._entries = []
         return waited
 
 
 def unavailable(member: str) -> decisions.RequestFailedError:
-    """Returns the failure of who waits where no link is to be had."""
+    """Returns the error for a request when no link is available."""
     return decisions.RequestFailedError(decisions.NO_CONNECTION, member)
 
 
 def overloaded(member: str) -> decisions.RequestFailedError:
-    """Returns the failure of who waits where too many do."""
+    """Returns the error for a request when too many are waiting."""
     return decisions.RequestFailedError(decisions.OVERLOADED, member)
--- a/packages/proxy/src/ferry_proxy/_links.py
+++ b/packages/proxy/src/ferry_proxy/_links.py
@@ -1,7 +1,8 @@
-"""What the proxy needs of one connection to a member.
+"""Interface to one connection to a member, independent of the protocol.
 
-A link runs commands in order and answers each by a whole reply. The adapter
-of a protocol implements `Link` and `Connector`; the proxy knows no wire.
+A link runs commands in order and returns one complete reply for each. A
+protocol adapter implements `Link` and `Connector`; the proxy itself does not
+depend on a wire format.
 """
 
 import typing
@@ -19,8 +20,8 @@
 
     Attributes:
         statement: The statement.
-        floor: The position that the member must show; None for any.
-        prepared_as: The name that EXECUTE's statement has on this link.
+        floor: The position that the member must have applied; None for any.
+        prepared_as: The name of EXECUTE's prepared statement on this link.
     """
 
     statement: _statements.Statement
@@ -33,8 +34,8 @@
     """Begins a transaction.
 
     Attributes:
-        read_only: Whether a replica may hold it.
-        floor: The position that the member must show; None for any.
+        read_only: Whether it may run on a replica.
+        floor: The position that the member must have applied; None for any.
     """
 
     read_only: bool
@@ -43,7 +44,7 @@
 
 @attrs.frozen(slots=True, repr=False)
 class Rollback:
-    """Rolls the open transaction back."""
+    """Rolls back the open transaction."""
 
 
 @attrs.frozen(slots=True, repr=False)
@@ -61,7 +62,7 @@
 
 @attrs.frozen(slots=True, repr=False)
 class Prepare:
-    """Prepares a statement under a name of the link's own."""
+    """Prepares a statement under a name that is local to the link."""
 
     name: str
     prepared: _statements.Prepared
@@ -69,7 +70,7 @@
 
 @attrs.frozen(slots=True, repr=False)
 class Status:
-    """Asks the member for its status."""
+    """Requests the status of the member."""
 
 
 @attrs.frozen(slots=True, repr=False)
@@ -81,12 +82,12 @@
 
 @attrs.frozen(slots=True, repr=False)
 class Resume:
-    """Lets a paused replica receive again."""
+    """Lets a paused replica receive from its primary again."""
 
 
 @attrs.frozen(slots=True, repr=False)
 class StepDown:
-    """Makes a primary of a term below `term` a replica."""
+    """Demotes a primary whose term is below `term` to a replica."""
 
     term: int
 
@@ -107,19 +108,19 @@
 
 @attrs.frozen(slots=True, repr=False)
 class Reply:
-    """The whole answer to a command of ours, or to a caller's statement.
+    """The complete reply to a control command or to a caller's statement.
 
     Attributes:
-        state: Where the session stands after it: at the member for a command,
-            for the caller where the reply is passed on.
-        rows: The rows, as the member wrote them.
-        proof: The member's token of a run, passed on to the caller as it is.
+        state: The transaction state afterwards: that of the member's session
+            for a command, that of the caller's for a forwarded reply.
+        rows: The rows, as encoded by the member.
+        proof: The member's execution token, passed to the caller unchanged.
         reason: Why it failed; None for success.
-        detail: The member's words on a failure.
-        position: The end of the member's applied log, where it told.
-        report: The status, for commands that ask for it.
-        retry_after_s: When to ask again, in seconds; None where the reason
-            tells.
+        detail: The member's description of a failure.
+        position: The end of the member's applied log, if reported.
+        report: The status, for commands that request it.
+        retry_after_s: The delay before a retry, in seconds; None if the reason
+            implies it.
     """
 
     state: _statements.TransactionState
@@ -137,7 +138,7 @@
         state: _statements.TransactionState,
         exc: decisions.RequestFailedError,
     ) -> "Reply":
-        """Returns the answer that a failure is to its caller."""
+        """Returns the reply that reports a failure to its caller."""
         return cls(
             state,
             reason=exc.reason,
@@ -147,7 +148,7 @@
 
     @property
     def not_run(self) -> bool:
-        """Whether the member promises that nothing of it is kept."""
+        """Whether it is certain that the statement has no effect."""
         reason = self.reason
         if reason is None:
             return False
@@ -158,7 +159,7 @@
 
 
 class LinkLostError(Exception):
-    """The link ended before the whole reply.
+    """The link was lost before the reply was complete.
 
     Attributes:
         handed: Whether the command may have reached the member.
@@ -174,7 +175,8 @@
 
     Attributes:
         reason: The type of the failure.
-        refused: Whether the machine answered that nothing listens there.
+        refused: Whether the host rejected the connection because nothing
+            listens on the port.
     """
 
     def __init__(
@@ -190,29 +192,30 @@
 
     @property
     def lost(self) -> bool:
-        """Whether it has ended."""
+        """Whether the connection has ended."""
 
     def run(self, commands: "list[Command]") -> "list[decisions.Future[Reply]]":
-        """Sends commands in one piece; the replies come in order.
+        """Sends commands as one message; the replies arrive in order.
 
-        A future fails with `LinkLostError` when the link ends before its
-        reply is whole.
+        A future fails with `LinkLostError` if the link is lost before its
+        reply is complete.
         """
 
     def close(self) -> None:
-        """Ends the connection; the member rolls back what is open."""
+        """Closes the connection; the member rolls back an open transaction."""
 
 
 class Connector(typing.Protocol):
-    """Opens links."""
+    """Opens links to members."""
 
     def connect(
         self, member: _members.Member, timeout_s: float, team: str
     ) -> "decisions.Future[Link]":
-        """Opens a link; fails with `ConnectFailedError`.
+        """Opens a link; the future fails with `ConnectFailedError`.
 
         Args:
             member: The member.
-            timeout_s: When to give up, in seconds.
-            team: In whose name; empty for this node's own.
+            timeout_s: The time limit, in seconds.
+            team: The team that the link runs statements for; empty for this
+                node's own commands.
         """
--- a/packages/proxy/src/ferry_proxy/_members.py
+++ b/packages/proxy/src/ferry_proxy/_members.py
@@ -1,4 +1,4 @@
-"""The members of the database groups, as listed and as they report."""
+"""Members of the database groups: their list entries and status reports."""
 
 import enum
 
@@ -11,19 +11,19 @@
     """An entry of the list of members.
 
     Attributes:
-        id: Its name; a restart at the same address under another id is
-            another member.
+        id: Its name; a process that starts at the same address under another
+            id is another member.
         service: The group that it belongs to.
-        host: Its IP number.
+        host: Its IP address.
         port: Its TCP port.
         data_centre: Where it runs.
-        slots: Statements that it runs at the same time.
+        slots: The number of statements that it runs concurrently.
         draining: Whether it is about to leave.
-        leads: Whether it believes to be the primary.
-        born: The Unix millisecond at which its process began, which tells one
-            life from the next under the same id; 0 where it does not say.
-        sequence: How often it has written in this life; it tells the older
-            of two entries, and makes no other member.
+        leads: Whether it considers itself the primary.
+        born: The start time of its process, in Unix milliseconds, which
+            distinguishes a restarted process with the same id; 0 if unknown.
+        sequence: The number of entries written by this process; it orders two
+            entries and is ignored when members are compared.
     """
 
     id: str
@@ -38,15 +38,15 @@
     sequence: int = attrs.field(default=0, eq=False)
 
     def is_restart_of(self, known: "Member") -> bool:
-        """Whether it began again after `known` was written.
+        """Whether the process restarted after it wrote `known`.
 
-        It then holds and knows nothing of what that life held.
+        The new process has none of the state of the previous one.
         """
         return self.born > known.born > 0
 
 
 class Role(enum.Enum):
-    """What a member believes to be."""
+    """The role that a member considers itself to have."""
 
     PRIMARY = "primary"
     REPLICA = "replica"
@@ -54,14 +54,14 @@
 
 @attrs.frozen(slots=True)
 class Report:
-    """A member's status, and when it was asked for.
+    """A member's status and the time of the request for it.
 
     Attributes:
-        role: What it believes to be.
-        term: The term that it is in.
+        role: The role that it considers itself to have.
+        term: Its current term.
         received: The end of the log that it has received.
-        paused_term: The term at which it stopped receiving; 0 for none.
-        asked_at: Boot time, in seconds, before the question was sent.
+        paused_term: The term below which it accepts no primary; 0 for none.
+        asked_at: The boot time, in seconds, before the request was sent.
     """
 
     role: Role
@@ -71,29 +71,30 @@
     asked_at: float
 
     def proves(self, term: int) -> bool:
-        """Whether it shows that `term` has not been replaced when it was asked.
+        """Whether it shows that `term` had not been replaced when asked.
 
-        Every later term begins with a fence that pauses it. So it proves as
-        much where it has not heard of `term` yet: a replica that receives
-        nothing keeps nobody from reading (2 s without reads after a primary's
-        crash, on days on which the other replica receives nothing).
+        Every later term begins with a fence that pauses the replica, so the
+        report is valid even if the replica has not learned of `term` yet.
+        Otherwise a replica that receives nothing would block reads: they
+        failed for 2 s after a crash of the primary on days on which the other
+        replica received nothing.
         """
         not_paused = self.paused_term <= term
         return self.role is Role.REPLICA and self.term <= term and not_paused
 
     def follows(self, term: int) -> bool:
-        """Whether it is a replica that may receive commits of `term`."""
+        """Whether it is a replica that can receive commits of `term`."""
         receiving = self.paused_term <= term
         return self.role is Role.REPLICA and self.term == term and receiving
 
 
 @attrs.frozen(slots=True)
 class Leader:
-    """Who leads a group.
+    """The primary of a group.
 
     Attributes:
-        member: The member's id.
-        term: The term that it leads.
+        member: The id of the member.
+        term: The term in which it is the primary.
     """
 
     member: str
@@ -102,11 +103,11 @@
 
 @attrs.frozen(slots=True)
 class RemovedMember:
-    """A member that is listed no more, and may live on all the same.
+    """A member that is no longer listed but may still be running.
 
     Attributes:
         member: Its last entry.
-        at: When it went, in the clock's seconds.
+        at: When it was removed from the list, in the clock's seconds.
     """
 
     member: Member
--- a/packages/proxy/src/ferry_proxy/_pooled_links.py
+++ b/packages/proxy/src/ferry_proxy/_pooled_links.py
@@ -1,9 +1,9 @@
-"""A link of a pool, and what session state it carries at the member.
+"""A pooled link and the session state in place on it at the member.
 
-Statements of many sessions share a link. Before a statement runs, the link
-gets that session's values and the prepared statement that it names, and
-nothing else of another session's is left on it. Both are sent in one piece
-with the statement, since they take no slot at the member.
+Sessions share links. Before a statement runs, the values of its session and
+the prepared statement that it names are put in place, and values of other
+sessions are cleared. These commands are sent in one message with the
+statement, as they occupy no slot of the member.
 """
 
 import attrs
@@ -12,7 +12,8 @@
 from ferry_proxy import _statements
 from ferry_proxy import _teams
 
-MAX_PREPARED = 256  # Names kept on a link; beyond it, the link is cleared.
+# Prepared statements kept on a link; when it is reached, the link is reset.
+MAX_PREPARED = 256
 
 
 @attrs.define(slots=True, eq=False)
@@ -21,14 +22,14 @@
 
     Attributes:
         link: The connection.
-        heard: When it last answered, in the clock's seconds.
-        team: The team whose statements it runs; none where there are no teams.
-        values: The session values that are in place.
-        prepared: The names of the prepared statements that are in place.
-        for_transaction: Whether it is taken for a transaction.
-        is_committing: Whether a transaction's COMMIT was sent.
-        sent_at: Since when it owes an answer; None for none.
-        used: When it was last taken for a statement or a transaction.
+        last_reply_at: When it last replied, in the clock's seconds.
+        team: The team whose statements it runs; empty without teams.
+        values: The session values in place.
+        prepared: The names of the prepared statements in place.
+        for_transaction: Whether it is held by a transaction.
+        is_committing: Whether the transaction's COMMIT has been sent.
+        sent_at: Since when a reply is outstanding; None if there is none.
+        last_used_at: When it was last acquired for a statement or transaction.
     """
 
     link: _links.Link
@@ -49,7 +50,9 @@
         values: dict[str, str],
         prepared: _statements.Prepared | None = None,
     ) -> "list[_links.Command]":
-        """Returns what puts a session's state in place, and notes it done.
+        """Returns the commands that put a session's state in place.
+
+        The state is recorded as being in place; the caller sends the commands.
 
         Args:
             values: The session's values.
@@ -73,7 +76,7 @@
         return commands
 
     def distance(self, values: dict[str, str]) -> int:
-        """Returns roughly how many commands `align` would need."""
+        """Estimates how many commands `align` would return."""
         if self.values.keys() - values.keys():
             return 1 + len(values)
         return sum(self.values.get(n) != v for n, v in values.items())
--- a/packages/proxy/src/ferry_proxy/_pools.py
+++ b/packages/proxy/src/ferry_proxy/_pools.py
@@ -1,8 +1,8 @@
-"""The connections of one node to one member.
+"""Connection pool of one node to one member.
 
-A member takes few connections, of all nodes together, so each node has a
-limit and a queue by priority. Opening costs the member a slot for some time:
-a link is kept for as long as it works.
+A member accepts few connections from all nodes together, so each node has a
+limit and a priority queue. Opening a connection occupies a slot of the member
+for some time, so a link is kept for as long as it works.
 """
 
 import collections
@@ -27,7 +27,7 @@
 
 
 class Pool:
-    """Links to one member, and who waits for them."""
+    """Links to one member and the queue of requests for them."""
 
     def __init__(
         self,
@@ -60,16 +60,16 @@
 
     @property
     def in_flight(self) -> int:
-        """Links in use, and requests that wait for one."""
+        """The number of links in use and of requests waiting for one."""
         return len(self._used) + len(self._waiters)
 
     @property
     def size(self) -> int:
-        """Links that are open or being opened."""
+        """The number of links that are open or being opened."""
         return len(self._idle) + len(self._used) + self._opening.total()
 
     def note_entry(self, member: _members.Member) -> None:
-        """Takes in how the member is listed now."""
+        """Applies the current list entry of the member."""
         self.member = member
         if not member.draining:
             self._draining_since = None
@@ -78,7 +78,7 @@
 
     @property
     def accepts_statements(self) -> bool:
-        """Whether it may get new statements, or has long been leaving."""
+        """Whether it takes new statements; if draining, for `drain_s` only."""
         since = self._draining_since
         if since is None:
             return True
@@ -91,7 +91,7 @@
 
     @property
     def is_refused(self) -> bool:
-        """Whether its address answered that the member is not there."""
+        """Whether the address refuses connections or is another member's."""
         refused = self.contact.refused_since < float("inf")
         return refused or self.is_replaced
 
@@ -103,17 +103,17 @@
         values: dict[str, str] | None = None,
         team: str = _teams.NO_TEAM,
     ) -> "decisions.Future[PooledLink]":
-        """Takes a link.
+        """Acquires a link.
 
         Args:
-            use: What for.
-            priority: The place in the queue; 0 goes first.
+            use: What the link is for.
+            priority: The queue priority; 0 goes first.
             until: When to give up, in the clock's seconds.
-            values: The session's values, to prefer a link that has them.
-            team: In whose name the statements on it run; questions of ours
-                take any team's link.
+            values: The session's values; a link that has them is preferred.
+            team: The team whose statements run on the link; control commands
+                use a link of any team.
 
-        Fails with `decisions.RequestFailedError` when none is to be had.
+        Fails with `decisions.RequestFailedError` if none becomes available.
         """
         fut: decisions.Future[PooledLink] = decisions.Future()
         if self._closed or self.is_unreachable:
@@ -139,7 +139,7 @@
         return fut
 
     def release(self, pooled: PooledLink) -> None:
-        """Gives a link back that has no transaction open."""
+        """Returns a link without an open transaction to the pool."""
         if pooled not in self._used:
             return
         self._used.discard(pooled)
@@ -160,13 +160,13 @@
     def exchange(
         self, pooled: PooledLink, command: _links.Command
     ) -> "decisions.Flow[_links.Reply]":
-        """Runs a command of ours on a link; without an answer it is closed.
+        """Runs a control command; the link is closed if no reply arrives.
 
-        It waits in the member's queue like a statement: where those take long,
-        it may, too.
+        It waits in the member's queue like a statement. The time limit is
+        `probe_timeout_s`, or more where statements take long.
 
         Raises:
-            decisions.RequestFailedError: No answer within `probe_timeout_s`.
+            decisions.RequestFailedError: No reply within the time limit.
         """
         fut = pooled.link.run([command])[0]
         limit_s = max(self._policy.probe_timeout_s, self.contact.patience_s)
@@ -184,7 +184,7 @@
         return reply
 
     def give_back(self, pooled: PooledLink, reply: _links.Reply) -> None:
-        """Gives a link back, or closes it if its state is not idle."""
+        """Releases a link, or closes it if its session is not idle."""
         self.shown.note(reply.position)
         if reply.state is _links.IDLE:
             self.release(pooled)
@@ -192,16 +192,16 @@
             self.discard(pooled)
 
     def note_sent(self, pooled: PooledLink) -> None:
-        """Takes in that a link owes an answer from now on."""
+        """Records that a reply is now outstanding on a link."""
         pooled.sent_at = self._clock.now()
         self.contact.note_asked()
 
     def note_heard(self, pooled: PooledLink, elapsed_s: float = 0.0) -> None:
-        """Takes in that the member answered.
+        """Records that the member replied.
 
         Args:
-            taken: The link.
-            elapsed_s: How long a statement took; 0 for other answers.
+            pooled: The link.
+            elapsed_s: The duration of a statement; 0 for other replies.
         """
         self.contact.note_heard(elapsed_s)
         pooled.last_reply_at = self._clock.now()
@@ -210,19 +210,19 @@
             self._serve()
 
     def trim(self) -> None:
-        """Closes links that nobody needed for a while, but for a few.
+        """Closes links that have been unused for a while, except for a few.
 
-        A VM without power keeps its connections at the member for seconds.
-        The fewer they are, the more its successor may open at once.
+        After a VM loses power, its connections stay open at the member for
+        seconds. The fewer there are, the more its successor can open at once.
         """
         for pooled in _link_choice.unneeded(self._idle, self._clock.now()):
             self._idle.remove(pooled)
             pooled.link.close()
 
     def reject_callers(self) -> None:
-        """Sends those who wait, and resting transactions, elsewhere.
+        """Fails waiting requests and closes links of open transactions.
 
-        The member leads no more: what waits for it would wait in vain.
+        The member is no longer the primary, so waiting for it is useless.
         """
         for waiter in list(self._waiters):
             if waiter.use is not Use.CONTROL:
@@ -234,7 +234,7 @@
                 pooled.link.close()
 
     def close(self) -> None:
-        """Closes the idle links; those in use close as they come back."""
+        """Closes the idle links; links in use are closed on release."""
         self._closed = True
         idle, self._idle = self._idle, []
         for pooled in idle:
@@ -246,22 +246,22 @@
 
     @property
     def _running(self) -> int:
-        """Statements under way at the member, and links being opened.
+        """Statements running at the member and links being opened.
 
-        Each of both takes a slot.
+        Each occupies a slot of the member.
         """
         asked = sum(t.sent_at is not None for t in self._used)
         return asked + self._opening.total()
 
     def has_link(self, team: str) -> bool:
-        """Whether a statement of a team finds a link that is free."""
+        """Whether the team has an idle link."""
         return any(t.team == team for t in self._idle)
 
     def expected_wait_s(self, rank: int) -> float:
-        """Returns how long a statement would wait here, in seconds.
+        """Returns the expected queueing time of a statement, in seconds.
 
         Args:
-            rank: Its place in the queue; 0 goes first.
+            rank: The queue rank; 0 goes first.
         """
         if self._running < self.parallel:
             return 0.0
@@ -275,21 +275,21 @@
         return self._clock.now() < self._backoff_until
 
     def _serve(self) -> None:
-        """Gives links to those who wait, in order."""
+        """Assigns links to waiting requests, in queue order."""
         self._idle = [t for t in self._idle if not t.link.lost]
         lacking: collections.Counter[str] = collections.Counter()
         for waiter in self._waiters.in_order():
             if waiter.is_done:
-                continue  # Who got a link just now has let it be served.
+                continue  # Served by a nested call, on assigning a link.
             if self._may_take(waiter.use):
                 pooled = self._find_idle(waiter)
                 if pooled is not None:
-                    self._hand_over(waiter, pooled)
+                    self._assign(waiter, pooled)
                     continue
                 lacking[waiter.team] += 1
                 self._open_up_to(waiter.team, lacking[waiter.team])
             elif waiter.use is not Use.TRANSACTION:
-                break  # All others that wait want to run statements, too.
+                break  # All later waiters also want to run statements.
 
     def _find_idle(self, waiter: _link_queue.Waiter) -> PooledLink | None:
         if waiter.use is Use.CONTROL:
@@ -303,12 +303,10 @@
             return False
         if use is Use.STATEMENT:
             return True
-        pooled = sum(t.for_transaction for t in self._used)
-        return pooled < max(1, self.limit - self._policy.transaction_reserve)
+        held = sum(t.for_transaction for t in self._used)
+        return held < max(1, self.limit - self._policy.transaction_reserve)
 
-    def _hand_over(
-        self, waiter: _link_queue.Waiter, pooled: PooledLink
-    ) -> None:
+    def _assign(self, waiter: _link_queue.Waiter, pooled: PooledLink) -> None:
         self._idle.remove(pooled)
         self._used.add(pooled)
         pooled.for_transaction = waiter.use is Use.TRANSACTION
@@ -318,14 +316,14 @@
         decisions.resolve(waiter.fut, pooled)
 
     def _open_up_to(self, team: str, count: int) -> None:
-        """Opens a team's links until so many are under way."""
+        """Opens links for a team until `count` of them are being opened."""
         if self._closed or self._backing_off:
             return
         while self._opening[team] < count and self._may_open_another():
             self._open(team)
 
     def _may_open_another(self) -> bool:
-        """Whether one more link may be opened; an idle one may have to go."""
+        """Whether another link may be opened; may close an idle one."""
         bound = self._room.bound(self.limit, self._clock.now())
         if self.size < bound:
             return True
@@ -335,13 +333,13 @@
         return self._close_idle()
 
     def _close_surplus(self) -> None:
-        """Closes an idle link where there are more than there may be."""
+        """Closes an idle link if the pool exceeds its current bound."""
         bound = self._room.bound(self.limit, self._clock.now())
         if self.size > bound:
             self._close_idle()
 
     def _close_idle(self) -> bool:
-        """Closes the idle link that is needed least; whether there was one."""
+        """Closes the least needed idle link; returns whether there was one."""
         unneeded = _link_choice.to_close(
             self._idle, self._team_usage, self._waiters.teams
         )
@@ -352,7 +350,7 @@
         return True
 
     def _retry_waiters(self) -> None:
-        """Serves those who wait once there may be room for another link."""
+        """Serves the queue again once the bound on links may have grown."""
         self._is_retry_scheduled = False
         self._serve()
 
--- a/packages/proxy/src/ferry_proxy/_proofs.py
+++ b/packages/proxy/src/ferry_proxy/_proofs.py
@@ -1,7 +1,7 @@
-"""Proofs that a group's primary still leads, by answers of its replicas.
+"""Proofs that a group's primary still leads, from its replicas' reports.
 
-A replica that may still receive, asked after a read came in, shows that no
-later term had begun by then: every change of primary would have paused it.
+A replica that is not paused and that was asked after a read arrived shows that
+no later term had begun by then: a change of primary would have paused it.
 """
 
 import typing
@@ -13,15 +13,17 @@
 from ferry_proxy import _members
 from ferry_proxy import _pools
 
-PROOF_HEDGE_S = 0.03  # A calm replica answers in about 5 ms.
+# The delay before one more replica is asked. A replica without load replies in
+# about 5 ms.
+PROOF_HEDGE_S = 0.03
 
 
 class Group(typing.Protocol):
-    """What proofs need of a group.
+    """The part of a group that proofs depend on.
 
     Attributes:
-        leader: Who is believed to lead.
-        pools: The links to its members, by id.
+        leader: The primary as far as known; None if unknown.
+        pools: The connection pools of its members, by id.
     """
 
     leader: _members.Leader | None
@@ -29,10 +31,10 @@
 
     @property
     def proof_size(self) -> int:
-        """How many replicas prove that a primary still leads."""
+        """How many replicas must confirm that the primary still leads."""
 
     def is_responsive(self, pool: _pools.Pool) -> bool:
-        """Whether a member owes no answer for long."""
+        """Whether a member is reachable and owes no overdue reply."""
 
     def is_near(self, pool: _pools.Pool) -> bool:
         """Whether a member is in this node's data centre."""
@@ -43,11 +45,11 @@
         """Sends a control command to a member and returns its report."""
 
     def refresh(self) -> "decisions.Future[dict[str, _members.Report]]":
-        """Asks all members for their status."""
+        """Starts a status round of the members."""
 
 
 class Proofs:
-    """The proofs of one group, shared by the reads that wait for them."""
+    """Proofs of leadership for one group, shared by concurrent reads."""
 
     def __init__(self, clock: _clocks.Clock, group: Group) -> None:
         self._clock = clock
@@ -55,9 +57,10 @@
         self._rounds = decisions.SharedRounds(self._prove)
 
     def prove(self) -> "decisions.Future[_members.Leader]":
-        """Proves that the leader still leads, by answers from now on.
+        """Confirms, by replies to new status requests, that the leader leads.
 
-        Fails with `decisions.RequestFailedError` where no proof is to be had.
+        The future fails with `decisions.RequestFailedError` if too few
+        replicas confirm it.
         """
         return self._rounds.join()
 
@@ -91,7 +94,7 @@
         return leader
 
     def _proof_order(self, leader: _members.Leader) -> list[_pools.Pool]:
-        """Returns the replicas, those that are likely to answer soon first."""
+        """Returns the replicas, the most likely to reply soon first."""
         pools = [p for n, p in self._group.pools.items() if n != leader.member]
         return sorted(
             pools,
--- a/packages/proxy/src/ferry_proxy/_queueing.py
+++ b/packages/proxy/src/ferry_proxy/_queueing.py
@@ -1,31 +1,31 @@
-"""How many statements a node runs at a member, and who waits or is refused.
-
-Answers the load of a database whose members cannot do all that is asked of
-them: both replicas lag, or a burst comes, and the primary alone is left. A
-member queues what it cannot run at once, first come first served. If nodes
-sent all they have, the urgent would wait behind the rest, and all would be
-late. So each node sends a member only its part of what keeps the member busy;
-the rest waits here by priority, and who would wait too long hears so at once.
-Pure functions.
+"""Concurrency limits and expected queueing times for statements at a member.
+
+A database can be overloaded: both replicas lag or a burst arrives, and only
+the primary is left. A member queues statements in order of arrival. If nodes
+sent it all their statements, urgent ones would wait behind the others, and all
+would be late. Each node therefore sends a member only its share of the
+statements that keep the member busy. The others wait at the node, by priority,
+and a statement that would wait too long is rejected at once. Pure functions.
 """
 
 import math
 
-MIN_PARALLEL = 1  # With two, six nodes have 12 statements under way for three
-# slots, and what is urgent waits behind them in the member's own queue: worth
-# 0.816 of a day on which a group had one member left for all reads, 0.832 so.
-STATEMENTS_PER_SLOT = (
-    2.0  # Statements under way for each slot, over all nodes: one
-)
-# runs, one is on its way or next. Twice the work's time, at most.
+# The minimum per node. With two, six nodes have 12 statements in progress for
+# three slots, and urgent ones wait behind them in the queue of the member. On a
+# day on which a group had one member left for all reads, two scored 0.816 and
+# one scored 0.832.
+MIN_PARALLEL = 1
+# Statements in progress per slot, over all nodes: one runs, and one is in
+# transit or next. A statement takes at most twice its execution time.
+STATEMENTS_PER_SLOT = 2.0
 
 
 def parallel_statements(slots: int, nodes: int) -> int:
-    """Returns how many statements a node may have under way at a member.
+    """Returns how many statements a node may have in progress at a member.
 
     Args:
-        slots: Statements that the member runs at the same time.
-        nodes: Nodes that send it statements.
+        slots: The number of statements that the member runs concurrently.
+        nodes: The number of nodes that send it statements.
     """
     return max(
         MIN_PARALLEL, math.ceil(STATEMENTS_PER_SLOT * slots / max(1, nodes))
@@ -33,11 +33,11 @@
 
 
 def expected_wait_s(ahead: int, parallel: int, latency_s: float) -> float:
-    """Returns how long a statement is likely to wait here, in seconds.
+    """Returns the expected queueing time at this node, in seconds.
 
     Args:
-        ahead: Statements that wait and go before it.
-        parallel: How many are under way at a time; all are busy.
-        latency_s: How long one takes at the member, lately.
+        ahead: The number of waiting statements that precede it.
+        parallel: The number of statements in progress, all places being taken.
+        latency_s: The recent latency of a statement at the member.
     """
     return (ahead + 1) * latency_s / max(1, parallel)
--- a/packages/proxy/src/ferry_proxy/_runners.py
+++ b/packages/proxy/src/ferry_proxy/_runners.py
@@ -1,8 +1,8 @@
-"""Who runs a session's statements: this node, or a serving node.
+"""Runners of a session's statements, at this node or at a serving node.
 
-A session knows only the two protocols below. `LocalRunner` runs statements
-over this node's own links; `_forwarding.RemoteRunner` sends them to a node
-that has links.
+A session depends only on the two protocols below. `LocalRunner` runs
+statements over this node's own links; `_forwarding.RemoteRunner` forwards them
+to a node that has links.
 """
 
 import typing
@@ -22,7 +22,12 @@
 
 
 class OpenTransaction(typing.Protocol):
-    """What a session needs of its transaction."""
+    """A session's transaction, local or at a serving node.
+
+    Attributes:
+        failure: Why the transaction failed; None while it has not.
+        used: When it last ran a statement, in the clock's seconds.
+    """
 
     failure: decisions.Reason | None
     used: float
@@ -33,36 +38,37 @@
 
     @property
     def holds_link(self) -> bool:
-        """Whether a member holds it."""
+        """Whether it occupies a link or a serving node's transaction."""
 
     def run(self, request: _requests.Request) -> "decisions.Flow[_links.Reply]":
-        """Runs a statement of it, its COMMIT included.
+        """Runs a statement of the transaction, COMMIT included.
 
         Raises:
-            decisions.RequestFailedError: No reply; the transaction has failed
-                and nothing of it is kept, unless the reason is unknown.
+            decisions.RequestFailedError: There is no reply. The transaction
+                has failed and has no effect, unless the outcome of the reason
+                is unknown.
         """
 
     def fail(self, reason: decisions.Reason) -> None:
-        """Ends it at the member; the caller has yet to end it."""
+        """Rolls it back at the member; the caller must still end it."""
 
     def roll_back(self) -> None:
-        """Rolls it back at the member and gives the link back."""
+        """Rolls it back at the member and releases its link."""
 
 
 class Runner(typing.Protocol):
-    """Runs the statements of one group's routes."""
+    """Runs statements on the routes of one group."""
 
     def run(self, request: _requests.Request) -> "decisions.Flow[_links.Reply]":
         """Runs a statement outside of transactions.
 
         Raises:
-            decisions.RequestFailedError: No reply; its reason tells whether
-                the statement may have run.
+            decisions.RequestFailedError: There is no reply; the reason tells
+                whether the statement may have run.
         """
 
     def begin(self, read_only: bool) -> OpenTransaction:
-        """Returns a transaction that takes a link at its first statement."""
+        """Returns a transaction that acquires a link at its first statement."""
 
 
 class LocalRunner:
@@ -83,7 +89,7 @@
         self.group = group
 
     def run(self, request: _requests.Request) -> "decisions.Flow[_links.Reply]":
-        """Runs a statement: a write once, a read wherever it may."""
+        """Runs a write once, or a read at one or several members."""
         job = _jobs.Job.of(request, self.group)
         yield from self._gate.admit(job.caller.team)
         try:
@@ -102,7 +108,7 @@
         return reply
 
     def begin(self, read_only: bool) -> _transactions.Transaction:
-        """Returns a transaction of the group's members."""
+        """Returns a transaction at a member of the group."""
         return _transactions.Transaction(
             self._clock,
             self._executor,
--- a/packages/proxy/src/ferry_proxy/_serving.py
+++ b/packages/proxy/src/ferry_proxy/_serving.py
@@ -1,7 +1,7 @@
-"""What a serving node does for the callers of other nodes.
+"""Execution of statements that other nodes forward to this node.
 
-Single statements run and are answered. A transaction belongs to the stream
-that it came over: when that ends, what is open is rolled back.
+A transaction belongs to the stream that it arrived on. When that stream ends,
+an open transaction is rolled back.
 """
 
 from collections.abc import Callable
@@ -23,19 +23,23 @@
 
 
 class Entry(typing.Protocol):
-    """The stream of an entry node, as far as it is needed here."""
+    """The stream from an entry node.
+
+    Attributes:
+        peer: The name of the entry node.
+    """
 
     peer: str
 
 
 @attrs.define(slots=True, eq=False)
 class _ServedTransaction:
-    """A transaction that runs here for another node.
+    """A transaction that this node runs for an entry node.
 
     Attributes:
         transaction: The transaction.
-        is_busy: Whether a statement of it runs.
-        is_ended: Whether its entry has ended it or is gone.
+        is_busy: Whether a statement of it is running.
+        is_ended: Whether the entry node has ended it or is gone.
     """
 
     transaction: _runners.OpenTransaction
@@ -44,7 +48,7 @@
 
 
 class Serving:
-    """Runs statements that other nodes forward."""
+    """Runs the statements that other nodes forward."""
 
     def __init__(
         self,
@@ -52,13 +56,13 @@
         runner: "Callable[[str], _runners.Runner | None]",
         access: _access.Access,
     ) -> None:
-        """Makes one without transactions.
+        """Initializes it without open transactions.
 
         Args:
             clock: The clock.
-            runner: Returns what runs a group's statements over this node's
-                own links; None where it has none.
-            access: Tells which team holds a caller's key.
+            runner: Returns the runner of a group's statements over this node's
+                own links; None if it has no links to the group.
+            access: Verifies the team of a caller's key.
         """
         self._clock = clock
         self._runner = runner
@@ -68,7 +72,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no statement runs and no transaction is open."""
+        """Whether no statement is running and no transaction is open."""
         served = [
             s for open_ in self._transactions.values() for s in open_.values()
         ]
@@ -78,11 +82,11 @@
     def run(
         self, entry: Entry, body: _forward_messages.RunRequest
     ) -> "decisions.Future[_forward_messages.RunReply]":
-        """Runs a statement and returns its answer; it never fails."""
+        """Runs a statement; a failure is returned as a reply."""
         return decisions.start(self._run(entry, body))
 
     def end(self, entry: Entry, number: int) -> None:
-        """Ends a transaction; what is open of it is rolled back."""
+        """Ends a transaction, rolling it back if it is still open."""
         served = self._transactions.get(entry, {}).pop(number, None)
         if served is None:
             return
@@ -91,13 +95,16 @@
             served.transaction.roll_back()
 
     def forget(self, entry: Entry) -> None:
-        """Ends all transactions of an entry whose stream has ended."""
+        """Ends all transactions of an entry node whose stream has ended."""
         for number in list(self._transactions.get(entry, {})):
             self.end(entry, number)
         self._transactions.pop(entry, None)
 
     def end_transactions(self, reason: decisions.Reason) -> None:
-        """Fails the transactions that rest; their entries learn of it next."""
+        """Fails all idle transactions.
+
+        Their entry nodes learn of it from the next statement.
+        """
         for open_ in self._transactions.values():
             for served in open_.values():
                 if not served.is_busy and served.transaction.failure is None:
