--- a/packages/proxy/src/ferry_proxy/_forwarder.py
+++ b/packages/proxy/src/ferry_proxy/_forwarder.py
@@ -88,12 +88,12 @@
 
     def is_served(self, service: str) -> bool:
         """Whether a responsive peer can currently serve a group."""
-        return bool(self._serving_well(service))
+        return bool(self._capable_streams(service))
 
     def is_missed(self, service: str) -> bool:
         """Whether a responsive serving node reports a group as missed."""
         return any(
-            service in s.missed and self._is_heard(s)
+            service in s.missed and self._is_responsive(s)
             for s in self._streams(service)
         )
 
@@ -118,7 +118,7 @@
             stream = streams.get(node.name)
             if stream is None or service not in stream.services:
                 continue
-            if self._is_heard(stream):
+            if self._is_responsive(stream):
                 return near
         return list(plan.nodes.values())
 
@@ -131,7 +131,7 @@
             team: The caller's team; empty if callers have none.
         """
         streams = [s for s in self._streams(service) if s.peer not in tried]
-        heard = [s for s in streams if self._is_heard(s)]
+        heard = [s for s in streams if self._is_responsive(s)]
         well = [s for s in heard if service in s.services]
         plan = self._plan(service)
         if plan is None or not (well or heard):
@@ -160,17 +160,17 @@
         plan = self._plan(service)
         if plan is None or not team:
             return False
-        present = [s.peer for s in self._serving_well(service)]
+        present = [s.peer for s in self._capable_streams(service)]
         present.append(self._own.name)
         first = self._homes().first(team, plan.nodes, present)
         return first != self._own.name
 
-    def _serving_well(self, service: str) -> list[Stream]:
+    def _capable_streams(self, service: str) -> list[Stream]:
         """Returns the streams to responsive peers that can serve a group."""
         return [
             s
             for s in self._streams(service)
-            if service in s.services and self._is_heard(s)
+            if service in s.services and self._is_responsive(s)
         ]
 
     def _streams(self, service: str) -> list[Stream]:
@@ -184,6 +184,6 @@
             if n != self._own.name and n in streams
         ]
 
-    def _is_heard(self, stream: Stream) -> bool:
+    def _is_responsive(self, stream: Stream) -> bool:
         heard = stream.silence_s < self.policy.isolated_s
         return heard and stream.owed_s < SILENT_PEER_S
--- a/packages/proxy/src/ferry_proxy/_forwarding.py
+++ b/packages/proxy/src/ferry_proxy/_forwarding.py
@@ -302,9 +302,13 @@
         if request.writes:
             self._wrote = True
         is_commit = request.statement.kind is _statements.Kind.COMMIT
-        unsure = is_commit and self._wrote
+        may_have_committed = is_commit and self._wrote
         # The serving node rolls back when the stream ends.
-        lost = decisions.ANSWER_LOST if unsure else decisions.TRANSACTION_LOST
+        lost = (
+            decisions.ANSWER_LOST
+            if may_have_committed
+            else decisions.TRANSACTION_LOST
+        )
         body = _forward_messages.RunRequest.of(
             request,
             self._forwarder.clock.now(),
--- a/packages/proxy/src/ferry_proxy/_groups.py
+++ b/packages/proxy/src/ferry_proxy/_groups.py
@@ -156,8 +156,8 @@
     @property
     def recently_restarted(self) -> int:
         """How many members restarted within `MEMBERSHIP_CHANGE_S`."""
-        late = self._clock.now() - MEMBERSHIP_CHANGE_S
-        return sum(at > late for at in self.restarted_at.values())
+        cutoff = self._clock.now() - MEMBERSHIP_CHANGE_S
+        return sum(at > cutoff for at in self.restarted_at.values())
 
     @property
     def proof_size(self) -> int:
@@ -272,8 +272,8 @@
             decisions.sleep(self._clock, STATUS_ROUND_S),
         )
         self._apply_reports(reports)
-        late = decisions.settle_all(futs, lambda _: False)
-        late.add_done_callback(lambda _: self._end_round(reports))
+        all_done = decisions.settle_all(futs, lambda _: False)
+        all_done.add_done_callback(lambda _: self._end_round(reports))
         return reports
 
     def _members_to_ask(self) -> list[_pools.Pool]:
@@ -285,18 +285,18 @@
         """
         pools = [p for n, p in self.pools.items() if n not in self._asking]
         leader = self.leader_pool
-        calm = leader is not None and not self.is_primary_changing
-        if leader is None or not calm or not self.is_responsive(leader):
+        is_stable = leader is not None and not self.is_primary_changing
+        if leader is None or not is_stable or not self.is_responsive(leader):
             return pools
         others = [p for p in pools if p is not leader]
         responsive = [p for p in others if self.is_responsive(p)]
         asked = [leader] if leader in pools else []
         self._next_replica += 1
-        late = self._clock.now() - self._policy.idle_probe_s
+        cutoff = self._clock.now() - self._policy.idle_probe_s
         unheard = [
             p
             for p in others
-            if p.contact.heard < late or p.contact.troubled_s > 0
+            if p.contact.heard < cutoff or p.contact.troubled_s > 0
         ]
         for number in range(min(self.proof_size, len(responsive))):
             turn = (self._next_replica + number) % len(responsive)
--- a/packages/proxy/src/ferry_proxy/_pools.py
+++ b/packages/proxy/src/ferry_proxy/_pools.py
@@ -277,17 +277,17 @@
     def _serve(self) -> None:
         """Assigns links to waiting requests, in queue order."""
         self._idle = [t for t in self._idle if not t.link.lost]
-        lacking: collections.Counter[str] = collections.Counter()
+        missing_links: collections.Counter[str] = collections.Counter()
         for waiter in self._waiters.in_order():
             if waiter.is_done:
                 continue  # Served by a nested call, on assigning a link.
-            if self._may_take(waiter.use):
+            if self._may_use_link(waiter.use):
                 pooled = self._find_idle(waiter)
                 if pooled is not None:
                     self._assign(waiter, pooled)
                     continue
-                lacking[waiter.team] += 1
-                self._open_up_to(waiter.team, lacking[waiter.team])
+                missing_links[waiter.team] += 1
+                self._open_up_to(waiter.team, missing_links[waiter.team])
             elif waiter.use is not Use.TRANSACTION:
                 break  # All later waiters also want to run statements.
 
@@ -296,7 +296,7 @@
             return _link_choice.for_control(self._idle)
         return _link_choice.for_team(self._idle, waiter.team, waiter.values)
 
-    def _may_take(self, use: Use) -> bool:
+    def _may_use_link(self, use: Use) -> bool:
         if use is Use.CONTROL:
             return True
         if self._running >= self.parallel:
