--- a/packages/proxy/src/ferry_proxy/tests/test_promotions.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_promotions.py
@@ -272,7 +272,7 @@
 def test_a_claim_without_an_answer_is_not_acted_upon():
     lab = fakes.Lab()
     lab.add_promoter()
-    lab.store.lost_answers = 1
+    lab.store.replies_to_drop = 1
     lab.cluster.crash("a")
     lab.run(1.2)
     assert lab.cluster.promotions == []
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_claims.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_claims.py
@@ -134,14 +134,14 @@
     lab = Lab()
     copy = lab.store.copy()
     first = lab.take("n1")
-    lab.store.late_writes = 1
+    lab.store.writes_to_delay = 1
     with pytest.raises(_store.StoreUnavailableError):
         lab.take("n1")
     lab.store.restore(copy)
     lab.run(CALM_S)
     held = lab.take("n2")
     assert held.revision.number == first.revision.number
-    lab.store.run_late_writes()
+    lab.store.run_delayed_writes()
     lab.run(5.0)
     known = lab.catalogue.claims["orders"].claim
     assert (known.holder, known.token) == ("n2", held.claim.token)
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_configuration.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_configuration.py
@@ -20,7 +20,7 @@
     return _configuration.Configuration(int(value), {}, {}, 3.0, 1 << 20)
 
 
-def changed_after_a_copy(lab: test_followers.Lab) -> fakes.Copy:
+def changed_after_a_copy(lab: test_followers.Lab) -> fakes.StoreBackup:
     """Writes version 4, then 9; returns a copy of the store between them."""
     lab.store.put("config", b"4")
     lab.settle()
