--- a/packages/proxy/src/ferry_proxy/tests/fakes.py
+++ b/packages/proxy/src/ferry_proxy/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A database group, a store and callers in virtual time."""
+"""Fakes of a database group and a store, and a test harness in virtual time."""
 
 from collections.abc import Callable
 import contextlib
@@ -35,7 +35,18 @@
 
 @attrs.define(eq=False)
 class FakeMember:
-    """A member: its log, and what goes wrong with it."""
+    """A member with its log and its injected faults.
+
+    Attributes:
+        dark: Whether it silently drops all messages.
+        crashed: Whether its process has ended.
+        isolated: Whether it is cut off from the other members.
+        busy: How many of the next statements fail with MEMBER_BUSY.
+        replies_to_drop: How many of the next replies to statements are lost.
+        opened: How many links to it were opened.
+        slots: How many statements it runs concurrently; 0 for no limit.
+        slot_free_at: When each slot becomes free, in the clock's seconds.
+    """
 
     id: str
     cluster: "FakeCluster"
@@ -58,7 +69,7 @@
     born: int = 1_000
 
     def work_delay(self) -> float:
-        """Returns how long one takes that comes now, its queue included."""
+        """Returns the duration of a statement sent now, with its queueing."""
         if not self.slots:
             return WORK_S
         now = self.cluster.clock.now()
@@ -94,7 +105,7 @@
 
 
 class FakeLink:
-    """A connection to a fake member; commands run one after another."""
+    """A connection to a fake member that runs commands in order."""
 
     def __init__(self, member: FakeMember, team: str = "") -> None:
         self.member = member
@@ -252,13 +263,13 @@
             return self._error(decisions.NOT_PRIMARY)
         member.log.append((member.term, request_id))
         if not member.cluster.replicate(member):
-            return None  # Never acknowledged.
+            return None  # The commit is not acknowledged.
         member.cluster.acknowledged.append(request_id)
         return self._ok(proof="proof-" + member.id)
 
 
 class FakeCluster:
-    """One group of three members, and the connector to it."""
+    """A group of three members and the connector to it."""
 
     def __init__(self, clock: decisions.VirtualTimers) -> None:
         self.clock = clock
@@ -347,7 +358,7 @@
             link.fail("crashed")
 
     def restart(self, name: str, keeps_log: bool = True) -> None:
-        """Ends a member's process and begins it again under the same id."""
+        """Restarts a member's process under the same id."""
         self.crash(name)
         member = self.members[name]
         member.crashed = False
@@ -367,20 +378,27 @@
 
 
 def at(number: int, era: int = 0) -> decisions.Revision:
-    """Returns a revision of the store."""
+    """Returns a store revision."""
     return decisions.Revision(era, number)
 
 
 @attrs.frozen
 class StoreBackup:
-    """What a store held at a moment."""
+    """The contents of a store at some point in time."""
 
     items: dict[str, _store.Item]
     number: int
 
 
 class FakeStore:
-    """A store in one process; calls may be lost, executed or not."""
+    """A store in one process with injected faults.
+
+    Attributes:
+        down: Whether all calls fail.
+        replies_to_drop: How many of the next executed calls appear to fail.
+        writes_to_delay: How many of the next writes fail and are executed only
+            by `run_delayed_writes`.
+    """
 
     def __init__(self, clock: decisions.VirtualTimers) -> None:
         self.clock = clock
@@ -409,7 +427,7 @@
         return StoreBackup(dict(self.items), self.number)
 
     def restore(self, copy: StoreBackup) -> None:
-        """Comes back from a copy; all that was written since is gone."""
+        """Restores a backup; all later writes are lost."""
         self.era += 1
         self.number = copy.number
         self.items = {
@@ -418,7 +436,7 @@
         }
 
     def run_delayed_writes(self) -> None:
-        """Executes the writes that were kept back; nobody is told."""
+        """Executes the delayed writes without a reply to their callers."""
         late, self._delayed_writes = self._delayed_writes, []
         for work in late:
             with contextlib.suppress(_store.StoreUnavailableError):
@@ -505,7 +523,7 @@
         return known.revision.number if known and known.value else 0
 
     def _change(self, work, revision):
-        """Only the number is compared, as the platform's store does."""
+        """Compares only the revision number, as the platform's store does."""
 
         def change():
             result = work()
@@ -517,7 +535,7 @@
 
 
 class FakeMesh:
-    """No peers."""
+    """A mesh without peers."""
 
     streams: list[_peers.Peer] = []
 
@@ -545,7 +563,7 @@
 
 
 class Lab:
-    """A group, its executor, sessions and a promoter in virtual time."""
+    """A group, its executor, sessions and promoters in virtual time."""
 
     def __init__(self, consistency=None, limit: int = 4, **policy) -> None:
         self.clock = decisions.VirtualTimers()
@@ -626,7 +644,7 @@
 
 
 def statement(text: str, request_id: str = "") -> _statements.Statement:
-    """Returns the statement of a short text, as in the cases' tables."""
+    """Returns the statement for the short text used in test cases."""
     request_id = request_id or f"id{next(_numbers)}"
     kinds = {k.value.upper(): k for k in _statements.Kind}
     kinds["BEGIN READ"] = _statements.Kind.BEGIN_READ
--- a/packages/proxy/src/ferry_proxy/tests/test_forwarding.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Callers of a node whose group other nodes serve, in virtual time."""
+"""Tests of statements forwarded to serving nodes, in virtual time."""
 
 import functools
 
@@ -23,7 +23,7 @@
 
 
 class FakeStream:
-    """A stream to a serving node; messages pass through the codec."""
+    """A stream to a serving node that encodes and decodes messages."""
 
     def __init__(self, clock, peer: str, serving: _serving.Serving) -> None:
         self._clock = clock
@@ -66,7 +66,7 @@
         )
 
     def fail(self) -> None:
-        """Ends the stream at both sides."""
+        """Ends the stream at both ends."""
         self.closed = True
         calls, self._calls = self._calls, {}
         for fut in calls.values():
@@ -92,7 +92,7 @@
 
 
 def encode_and_decode(body):
-    """Returns a message as it comes out of the codec."""
+    """Returns a message after encoding and decoding."""
     data = _peer_messages.encode(1, body)
     return _peer_messages.Decoder().feed(data)[0].body
 
@@ -103,7 +103,7 @@
 
 
 class EntryLab(fakes.Lab):
-    """An entry node in hall-b; one near and one far serving node."""
+    """An entry node in hall-b with a nearby and a remote serving node."""
 
     def __init__(self, consistency=None, **policy) -> None:
         super().__init__(consistency, **policy)
@@ -137,7 +137,7 @@
         )
 
     def _seek(self) -> None:
-        """Opens what streams are wanted, two network trips later."""
+        """Opens the wanted streams after two network trips."""
         self.seeks += 1
         wanted = {n.name for n in self.forwarder.wanted("orders")}
         for name in wanted - self.mesh.by_name.keys():
@@ -256,7 +256,11 @@
     ],
 )
 def test_a_stream_that_ends_under_way(texts, expected):
-    """Only what may have run is unknown; a write is not sent twice."""
+    """A stream ends while a statement runs at the serving node.
+
+    The outcome is unknown only if the statement may have had an effect, and a
+    write is not sent a second time.
+    """
     lab = EntryLab()
     del lab.mesh.by_name["far"]
     session = lab.session()
@@ -409,9 +413,10 @@
     ],
 )
 def test_far_nodes_serve_as_soon_as_the_near_one_falls_silent(texts, expected):
-    """Streams to them are opened at once, not when the near one's ends.
+    """Streams to remote nodes open before the silent node's stream ends.
 
-    Of 10 callers that came in the 1.6 s until then, none was served before.
+    That stream ends only after 1.6 s. None of 10 callers that arrived in that
+    time was served when remote nodes were connected to only afterwards.
     """
     lab = EntryLab()
     del lab.mesh.by_name["far"]
--- a/packages/proxy/src/ferry_proxy/tests/test_link_choice.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_link_choice.py
@@ -1,4 +1,4 @@
-"""Which link a statement gets, and which one makes room for another."""
+"""Tests of the selection of links to use and links to close."""
 
 import collections
 import random
@@ -12,7 +12,7 @@
 
 
 def link(team, last_used_at=0.0, last_reply_at=0.0, values=None):
-    """Returns a link that nobody uses."""
+    """Returns an idle link."""
     conn = fakes.FakeLink(MEMBER, team)
     return _pooled_links.PooledLink(
         conn, last_reply_at, team, values or {}, last_used_at=last_used_at
@@ -53,10 +53,10 @@
 @pytest.mark.parametrize(
     ("counts", "waited_for", "chosen"),
     [
-        ({"a": 9, "b": 2}, set(), 0),  # One of two that a team leaves idle.
+        ({"a": 9, "b": 2}, set(), 0),  # One of a team's two idle links.
         ({"a": 9, "b": 2, "c": 1}, {"a"}, 3),
         ({"a": 9, "b": 2, "c": 3}, {"a"}, 2),
-        ({"a": 9, "b": 2, "c": 2}, {"a"}, 2),  # Alike: used longest ago.
+        ({"a": 9, "b": 2, "c": 2}, {"a"}, 2),  # A tie: used longest ago.
         ({"a": 9, "b": 2, "c": 3}, {"a", "b"}, 3),
         ({"a": 9, "b": 2, "c": 1}, {"a", "b", "c"}, 0),
     ],
@@ -67,7 +67,7 @@
     assert found is links[chosen]
 
 
-def test_uses_are_forgotten():
+def test_the_usage_of_teams_decays():
     made = uses(a=8, b=1)
     made.note("b", 1.0 + 3 * _link_choice.USE_DECAY_S)
     assert made.of("b") > made.of("a") > 0.0
@@ -80,7 +80,7 @@
 
 
 def opened(choose, seed):
-    """Plays teams of unequal size at a pool; returns links per statement."""
+    """Simulates teams of unequal size; returns links opened per statement."""
     rng = random.Random(seed)
     teams = [f"t{n}" for n in range(14)]
     weights = [1 / (n + 1) for n in range(14)]
@@ -103,10 +103,10 @@
 
 
 def test_teams_that_ask_often_keep_their_links():
-    """14 teams, the first 14 times as large as the last, on six links.
+    """14 teams, the first 14 times as large as the last, share six links.
 
-    Closing the link least recently used, 0.36 of the statements open one;
-    closing the one of the team that asks least, 0.27.
+    If the least recently used link is closed, 0.36 of the statements open a
+    link; if it is the link of the team with the fewest requests, 0.27.
     """
     before = [opened(least_recently_used, seed) for seed in range(5)]
     after = [opened(_link_choice.to_close, seed) for seed in range(5)]
--- a/packages/proxy/src/ferry_proxy/tests/test_link_room.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_link_room.py
@@ -1,4 +1,4 @@
-"""How many links a pool may have, and nodes that begin at a full member."""
+"""Tests of the bound on a pool's links, also with a full member."""
 
 import functools
 
@@ -34,14 +34,14 @@
     assert room.bound(LIMIT, 100.0 + age_s) == bound
 
 
-def test_where_links_are_everybodys_nothing_is_held_back():
+def test_links_that_are_shared_by_all_teams_are_not_limited():
     room = _link_room.LinkRoom(100.0, False)
     room.note_full(1, 100.0)
     assert room.bound(LIMIT, 100.0) == LIMIT
 
 
 class FullMember:
-    """A member with room for few links, of all nodes together."""
+    """A member that accepts few links from all nodes together."""
 
     def __init__(self, lab, room):
         self._lab = lab
@@ -71,7 +71,10 @@
 
 
 def test_nodes_that_begin_at_a_full_member_each_get_a_link():
-    """Six nodes, room for nine: old links linger after a loss of power."""
+    """Six nodes start at a member that has room for nine links.
+
+    After a power loss of all nodes, their old links occupy the other room.
+    """
     lab = fakes.Lab()
     for link in list(lab.cluster.members["a"].links):
         link.fail("power")
--- a/packages/proxy/src/ferry_proxy/tests/test_lives.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_lives.py
@@ -1,4 +1,4 @@
-"""Members that begin again under the id that they had."""
+"""Tests of members that restart under the same id."""
 
 import attrs
 import ferry_decisions as decisions
@@ -27,14 +27,14 @@
     ("known", "told", "expected"),
     [(0, 0, False), (0, 5, False), (5, 5, False), (5, 6, True), (6, 5, False)],
 )
-def test_next_life(known, told, expected):
+def test_a_later_start_time_is_a_restart(known, told, expected):
     before = attrs.evolve(MEMBER, born=known)
     after = attrs.evolve(MEMBER, born=told)
     assert after.is_restart_of(before) is expected
 
 
 class CatalogueLab:
-    """A catalogue whose members' entries are `BORN` or `BORN draining`."""
+    """A catalogue with member entries of the form `BORN [draining]`."""
 
     def __init__(self) -> None:
         self.clock = decisions.VirtualTimers()
@@ -61,7 +61,7 @@
         self.copy.take((item,), "test")
 
 
-def test_an_earlier_lifes_entry_that_comes_late_changes_nothing():
+def test_a_late_entry_of_an_earlier_process_changes_nothing():
     lab = CatalogueLab()
     lab.write("7")
     lab.write("5 draining")
@@ -70,7 +70,7 @@
     assert lab.copy.refused == 1
 
 
-def test_an_earlier_lifes_entry_does_not_bring_back_a_member_that_went():
+def test_an_entry_of_an_earlier_process_does_not_restore_a_removed_member():
     lab = CatalogueLab()
     lab.write("7")
     lab.write(None)
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("name", ["a", "b"])
-def test_nothing_of_an_ended_life_is_believed(name):
+def test_the_state_of_a_member_before_its_restart_is_discarded(name):
     lab = fakes.Lab()
     write(lab, "w")
     lab.run(1.0)
@@ -133,7 +133,7 @@
 
 
 def test_a_replica_that_began_again_unpaused_proves_nothing_alone():
-    """Its earlier life was paused for a change that is under way."""
+    """The previous process was paused for a change in progress."""
     lab = fakes.Lab()
     for name in "bc":
         lab.cluster.members[name].paused_term = 2
@@ -158,7 +158,7 @@
 
 
 def test_nobody_leads_where_only_the_primary_still_holds_a_commit():
-    """The one replica that had received it came back empty."""
+    """The only replica that received the commit restarts empty."""
     lab = fakes.Lab()
     lab.add_promoter()
     lab.cluster.members["c"].isolated = True
@@ -177,7 +177,7 @@
 
 
 def test_a_paused_member_that_begins_again_ends_the_change():
-    """It is paused no longer, and the old primary may use it."""
+    """The restarted replica is not paused; the old primary may use it."""
     lab = fakes.Lab()
     lab.add_promoter()
     write(lab, "w")
@@ -186,7 +186,7 @@
     paused, late = lab.cluster.members["b"], lab.cluster.members["c"]
     while not paused.paused_term:
         lab.run(0.001)
-    late.dark = True  # Its answer, and so the order, comes after a retry.
+    late.dark = True  # Its reply, and so the order, is delayed until a retry.
     lab.run(0.05)
     lab.cluster.restart("b")
     apply_entries(lab)
--- a/packages/proxy/src/ferry_proxy/tests/test_lone_primary.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_lone_primary.py
@@ -1,4 +1,4 @@
-"""A group that has shrunk to its primary, the replicas being gone for good."""
+"""Tests of a group whose replicas are gone and only the primary is left."""
 
 import ferry_decisions as decisions
 import pytest
@@ -6,7 +6,8 @@
 from ferry_proxy import _configuration
 from ferry_proxy.tests import fakes
 
-REPLICAS_REMOVED_S = 12.0  # Long after the replicas have left the list.
+# Long after the replicas were removed from the member list.
+REPLICAS_REMOVED_S = 12.0
 IMMEDIATE_S = 0.15
 
 
