--- a/packages/proxy/src/ferry_proxy/_forwarder.py
+++ b/packages/proxy/src/ferry_proxy/_forwarder.py
@@ -131,18 +131,18 @@
             team: The caller's team; empty if callers have none.
         """
         streams = [s for s in self._streams(service) if s.peer not in tried]
-        heard = [s for s in streams if self._is_responsive(s)]
-        well = [s for s in heard if service in s.services]
+        responsive = [s for s in streams if self._is_responsive(s)]
+        capable = [s for s in responsive if service in s.services]
         plan = self._plan(service)
-        if plan is None or not (well or heard):
+        if plan is None or not (capable or responsive):
             return None
         if team:
-            present = [s.peer for s in well or heard]
+            present = [s.peer for s in capable or responsive]
             name = self._homes().first(team, plan.nodes, present)
             return self._mesh.by_name[name]
         near = {n.name for n in plan.near(self._own.data_centre)}
         return min(
-            well or heard,
+            capable or responsive,
             key=lambda s: (
                 s.peer not in near,
                 s.waiting,
@@ -185,5 +185,5 @@
         ]
 
     def _is_responsive(self, stream: Stream) -> bool:
-        heard = stream.silence_s < self.policy.isolated_s
-        return heard and stream.owed_s < SILENT_PEER_S
+        was_heard = stream.silence_s < self.policy.isolated_s
+        return was_heard and stream.owed_s < SILENT_PEER_S
--- a/packages/proxy/src/ferry_proxy/_groups.py
+++ b/packages/proxy/src/ferry_proxy/_groups.py
@@ -376,12 +376,12 @@
     def note_leader(self, leader: _members.Leader) -> None:
         """Sets the leader unless one of the same or a later term is known."""
         known = self.leader
-        newer = known is None or leader.term > known.term
-        if leader.term < self.term or not newer:
+        is_newer = known is None or leader.term > known.term
+        if leader.term < self.term or not is_newer:
             return
         if leader.member not in self.pools:
             return
-        before = self.pools.get(self.last_leader)
+        previous = self.pools.get(self.last_leader)
         self.leader = leader
         self.last_leader = leader.member
         self.leader_found_at = self._clock.now()
@@ -390,8 +390,8 @@
         _events.emit(
             _events.LeaderFound(self.service.name, leader.member, leader.term)
         )
-        if before is not None and before is not self.leader_pool:
-            before.reject_callers()
+        if previous is not None and previous is not self.leader_pool:
+            previous.reject_callers()
         changed, self._changed = self._changed, decisions.Future()
         decisions.resolve(changed, None)
 
--- a/packages/proxy/src/ferry_proxy/_hedged_reads.py
+++ b/packages/proxy/src/ferry_proxy/_hedged_reads.py
@@ -69,7 +69,7 @@
             raise decisions.RequestFailedError(decisions.CANCELED)
         hedge_s = job.route.target_s * self._policy.hedge_share
         self._clock.after(hedge_s, self._hedge)
-        begun = self._clock.now()
+        started_at = self._clock.now()
         fut = self._executor.send(job, pool, pooled, target.floor)
         self._close_if_silent(pool, pooled, fut)
         try:
@@ -79,7 +79,7 @@
             raise decisions.RequestFailedError(
                 decisions.READ_CUT, str(exc)
             ) from exc
-        pool.note_heard(pooled, self._clock.now() - begun)
+        pool.note_heard(pooled, self._clock.now() - started_at)
         pool.give_back(pooled, reply)
         return reply
 
--- a/packages/proxy/src/ferry_proxy/_serving.py
+++ b/packages/proxy/src/ferry_proxy/_serving.py
@@ -74,10 +74,10 @@
     def is_idle(self) -> bool:
         """Whether no statement is running and no transaction is open."""
         served = [
-            s for open_ in self._transactions.values() for s in open_.values()
+            s for by_id in self._transactions.values() for s in by_id.values()
         ]
-        live = any(s.transaction.failure is None for s in served)
-        return not self._running and not live
+        is_any_open = any(s.transaction.failure is None for s in served)
+        return not self._running and not is_any_open
 
     def run(
         self, entry: Entry, body: _forward_messages.RunRequest
@@ -105,8 +105,8 @@
 
         Their entry nodes learn of it from the next statement.
         """
-        for open_ in self._transactions.values():
-            for served in open_.values():
+        for by_id in self._transactions.values():
+            for served in by_id.values():
                 if not served.is_busy and served.transaction.failure is None:
                     served.transaction.fail(reason)
 
