--- a/packages/proxy/src/ferry_proxy/_proofs.py
+++ b/packages/proxy/src/ferry_proxy/_proofs.py
@@ -57,7 +57,7 @@
         self._rounds = decisions.SharedRounds(self._prove)
 
     def prove(self) -> "decisions.Future[_members.Leader]":
-        """Confirms, by replies to new status requests, that the leader leads.
+        """Confirms, by new status requests, that the leader still leads.
 
         The future fails with `decisions.RequestFailedError` if too few
         replicas confirm it.
