--- a/packages/proxy/src/ferry_proxy/_forwarder.py
+++ b/packages/proxy/src/ferry_proxy/_forwarder.py
@@ -25,7 +25,7 @@
     Attributes:
         services: The groups that the peer can currently serve.
         missed: The groups that other nodes serve and the peer cannot reach.
-        held: The number of this node's transactions that use the stream.
+        open_transactions: How many of this node's transactions use it.
     """
 
     services: frozenset[str]
@@ -64,7 +64,7 @@
         mesh: Mesh,
         plan: Callable[[str], _serving_plan.ServingPlan | None],
         open_streams: Callable[[], object],
-        homes: Callable[[], _homes.Homes],
+        team_placement: Callable[[], _homes.Homes],
     ) -> None:
         """Initializes the forwarder.
 
@@ -76,12 +76,12 @@
             plan: Returns the serving plan of a group.
             open_streams: Called when no serving node is left; connects to the
                 nodes that are `wanted` now.
-            homes: Returns the home nodes of the teams.
+            team_placement: Returns the placement of teams on nodes.
         """
         self.clock = clock
         self.policy = policy
         self.open_streams = open_streams
-        self._homes = homes
+        self._team_placement = team_placement
         self._own = own
         self._mesh = mesh
         self._plan = plan
@@ -138,7 +138,7 @@
             return None
         if team:
             present = [s.peer for s in capable or responsive]
-            name = self._homes().first(team, plan.nodes, present)
+            name = self._team_placement().first(team, plan.nodes, present)
             return self._mesh.by_name[name]
         near = {n.name for n in plan.near(self._own.data_centre)}
         return min(
@@ -162,7 +162,7 @@
             return False
         present = [s.peer for s in self._capable_streams(service)]
         present.append(self._own.name)
-        first = self._homes().first(team, plan.nodes, present)
+        first = self._team_placement().first(team, plan.nodes, present)
         return first != self._own.name
 
     def _capable_streams(self, service: str) -> list[Stream]:
--- a/packages/proxy/src/ferry_proxy/_forwarding.py
+++ b/packages/proxy/src/ferry_proxy/_forwarding.py
@@ -222,7 +222,7 @@
 
     Attributes:
         failure: Why the transaction failed; None while it has not.
-        used: When it last ran a statement, in the clock's seconds.
+        last_used_at: When it last ran a statement, in the clock's seconds.
     """
 
     def __init__(
--- a/packages/proxy/src/ferry_proxy/_groups.py
+++ b/packages/proxy/src/ferry_proxy/_groups.py
@@ -103,8 +103,7 @@
     def share_among(self, nodes: int) -> None:
         """Sets how many nodes currently send statements to the members.
 
-        In a data centre that is cut off, only its own nodes share the slots of
-        its members.
+        In a data centre that is cut off, its own nodes alone share the slots.
         """
         for pool in self.pools.values():
             slots = pool.member.slots
@@ -230,8 +229,7 @@
     def prove(self) -> "decisions.Future[_members.Leader]":
         """Confirms, by new status requests, that the leader still leads.
 
-        The future fails with `decisions.RequestFailedError` if too few
-        replicas confirm it.
+        Fails with `decisions.RequestFailedError` if too few replicas confirm.
         """
         return self._proofs.prove()
 
@@ -254,10 +252,7 @@
     # -- status rounds ---------------------------------------------------
 
     def _round(self) -> "decisions.Flow[dict[str, _members.Report]]":
-        """Requests status from members, waiting at most `STATUS_ROUND_S`.
-
-        Reports that arrive later are still applied.
-        """
+        """Runs a status round; reports after `STATUS_ROUND_S` still count."""
         self.last_round_at = self._clock.now()
         reports: dict[str, _members.Report] = {}
         futs = [
--- a/packages/proxy/src/ferry_proxy/_proofs.py
+++ b/packages/proxy/src/ferry_proxy/_proofs.py
@@ -59,8 +59,7 @@
     def prove(self) -> "decisions.Future[_members.Leader]":
         """Confirms, by new status requests, that the leader still leads.
 
-        The future fails with `decisions.RequestFailedError` if too few
-        replicas confirm it.
+        Fails with `decisions.RequestFailedError` if too few replicas confirm.
         """
         return self._rounds.join()
 
--- a/packages/proxy/src/ferry_proxy/_runners.py
+++ b/packages/proxy/src/ferry_proxy/_runners.py
@@ -26,7 +26,7 @@
 
     Attributes:
         failure: Why the transaction failed; None while it has not.
-        used: When it last ran a statement, in the clock's seconds.
+        last_used_at: When it last ran a statement, in the clock's seconds.
     """
 
     failure: decisions.Reason | None
