--- a/packages/proxy/src/ferry_proxy/_forward_messages.py
+++ b/packages/proxy/src/ferry_proxy/_forward_messages.py
@@ -236,7 +236,7 @@
         """Returns the reply; for an unknown reason, the outcome is unknown."""
         reason = None
         if self.reason:
-            reason = decisions.BY_NAME.get(
+            reason = decisions.REASONS_BY_NAME.get(
                 self.reason, decisions.STATEMENT_FAILED
             )
         return _links.Reply(
--- a/packages/proxy/src/ferry_proxy/_forwarder.py
+++ b/packages/proxy/src/ferry_proxy/_forwarder.py
@@ -7,11 +7,11 @@
 import ferry_decisions as decisions
 
 from ferry_proxy import _clocks
-from ferry_proxy import _homes
 from ferry_proxy import _peers
 from ferry_proxy import _policy
 from ferry_proxy import _records
 from ferry_proxy import _serving_plan
+from ferry_proxy import _team_placement
 
 # A peer that owes a reply and was not heard from for this long is regarded as
 # gone, since a live one sends several messages in that time. Other nodes are
@@ -30,18 +30,18 @@
 
     services: frozenset[str]
     missed: frozenset[str]
-    held: int
+    open_transactions: int
 
     @property
     def closed(self) -> bool:
         """Whether the stream has ended."""
 
     @property
-    def owed_s(self) -> float:
+    def unresponsive_s(self) -> float:
         """Seconds since the peer was heard from, while it owes a reply."""
 
     @property
-    def waiting(self) -> int:
+    def pending_calls(self) -> int:
         """The number of requests to the peer without a reply."""
 
 
@@ -64,7 +64,7 @@
         mesh: Mesh,
         plan: Callable[[str], _serving_plan.ServingPlan | None],
         open_streams: Callable[[], object],
-        team_placement: Callable[[], _homes.Homes],
+        team_placement: Callable[[], _team_placement.TeamPlacement],
     ) -> None:
         """Initializes the forwarder.
 
@@ -138,14 +138,14 @@
             return None
         if team:
             present = [s.peer for s in capable or responsive]
-            name = self._team_placement().first(team, plan.nodes, present)
+            name = self._team_placement().acting_node(team, plan.nodes, present)
             return self._mesh.by_name[name]
         near = {n.name for n in plan.near(self._own.data_centre)}
         return min(
             capable or responsive,
             key=lambda s: (
                 s.peer not in near,
-                s.waiting,
+                s.pending_calls,
                 decisions.rendezvous_score(self._own.name, s.peer),
             ),
         )
@@ -162,8 +162,10 @@
             return False
         present = [s.peer for s in self._capable_streams(service)]
         present.append(self._own.name)
-        first = self._team_placement().first(team, plan.nodes, present)
-        return first != self._own.name
+        acting_node = self._team_placement().acting_node(
+            team, plan.nodes, present
+        )
+        return acting_node != self._own.name
 
     def _capable_streams(self, service: str) -> list[Stream]:
         """Returns the streams to responsive peers that can serve a group."""
@@ -186,4 +188,4 @@
 
     def _is_responsive(self, stream: Stream) -> bool:
         was_heard = stream.silence_s < self.policy.isolated_s
-        return was_heard and stream.owed_s < SILENT_PEER_S
+        return was_heard and stream.unresponsive_s < SILENT_PEER_S
--- a/packages/proxy/src/ferry_proxy/_forwarding.py
+++ b/packages/proxy/src/ferry_proxy/_forwarding.py
@@ -166,7 +166,7 @@
     if lost in SAFE_TO_ABANDON:
         fut = decisions.start(_fail_if_silent(clock, stream, fut))
     try:
-        answer: _peer_messages.Message = yield decisions.within(
+        answer: _peer_messages.Message = yield decisions.with_timeout(
             clock, limit, fut
         )
     except decisions.TimeoutExpiredError:
@@ -193,11 +193,11 @@
     """
     while not fut.done():
         left_s = max(
-            MIN_SILENCE_POLL_S, _forwarder.SILENT_PEER_S - stream.owed_s
+            MIN_SILENCE_POLL_S, _forwarder.SILENT_PEER_S - stream.unresponsive_s
         )
         pause = decisions.sleep(clock, left_s)
-        yield decisions.either(decisions.settled(fut), pause)
-        if not fut.done() and stream.owed_s >= _forwarder.SILENT_PEER_S:
+        yield decisions.first_completed(decisions.settled(fut), pause)
+        if not fut.done() and stream.unresponsive_s >= _forwarder.SILENT_PEER_S:
             raise _peers.PeerLostError(f"{stream.peer} is silent")
     return fut.result()
 
@@ -235,7 +235,7 @@
         self._number = 0
         self._wrote = False
         self.failure: decisions.Reason | None = None
-        self.used = forwarder.clock.now()
+        self.last_used_at = forwarder.clock.now()
 
     @property
     def wrote(self) -> bool:
@@ -253,7 +253,7 @@
             reply = yield from self._open(request)
         else:
             reply = yield from self._send(request, self._stream, False)
-        self.used = self._forwarder.clock.now()
+        self.last_used_at = self._forwarder.clock.now()
         if reply.reason is not None:
             self.fail(reply.reason)
         elif request.statement.kind is _statements.Kind.COMMIT:
@@ -275,7 +275,7 @@
     def _release(self) -> _forwarder.Stream | None:
         stream, self._stream = self._stream, None
         if stream is not None:
-            stream.held -= 1
+            stream.open_transactions -= 1
         return stream
 
     def _open(
@@ -287,7 +287,7 @@
             stream = yield from search.next()
             self._number = next(_numbers)
             self._stream = stream
-            stream.held += 1
+            stream.open_transactions += 1
             reply = yield from self._send(request, stream, True)
             if not search.may_try_another(reply):
                 return reply
--- a/packages/proxy/src/ferry_proxy/_groups.py
+++ b/packages/proxy/src/ferry_proxy/_groups.py
@@ -186,7 +186,9 @@
         pool = self.leader_pool
         if pool is None:
             return now - self.leaderless_since < limit_s
-        return pool.contact.is_quiet and pool.contact.unanswered_s < limit_s
+        return (
+            pool.contact.is_unresponsive and pool.contact.unanswered_s < limit_s
+        )
 
     @property
     def floor_age_s(self) -> float:
@@ -199,7 +201,7 @@
     @property
     def has_failed_contact(self) -> bool:
         """Whether contact with any member failed and has not recovered."""
-        return any(p.contact.troubled_s > 0 for p in self.pools.values())
+        return any(p.contact.link_failing_s > 0 for p in self.pools.values())
 
     def is_near(self, pool: _pools.Pool) -> bool:
         """Whether a member is in this node's data centre."""
@@ -207,7 +209,7 @@
 
     def is_responsive(self, pool: _pools.Pool) -> bool:
         """Whether a member is reachable and owes no overdue reply."""
-        return not pool.is_unreachable and not pool.contact.is_quiet
+        return not pool.is_unreachable and not pool.contact.is_unresponsive
 
     def expect_primary_change(self) -> None:
         """Records that a change of primary has begun."""
@@ -218,7 +220,7 @@
     def until_leader_changes(self, limit_s: float) -> "decisions.Future[None]":
         """Returns a future that resolves on a new leader or a timeout."""
         timer = decisions.sleep(self._clock, limit_s)
-        return decisions.either(self._changed, timer)
+        return decisions.first_completed(self._changed, timer)
 
     # -- control commands ------------------------------------------------
 
@@ -262,7 +264,7 @@
         enough = decisions.settle_all(
             futs, lambda _: self._sample(reports) is not None
         )
-        yield decisions.either(
+        yield decisions.first_completed(
             decisions.settled(enough),
             decisions.sleep(self._clock, STATUS_ROUND_S),
         )
@@ -291,7 +293,7 @@
         unheard = [
             p
             for p in others
-            if p.contact.heard < cutoff or p.contact.troubled_s > 0
+            if p.contact.heard < cutoff or p.contact.link_failing_s > 0
         ]
         for number in range(min(self.proof_size, len(responsive))):
             turn = (self._next_replica + number) % len(responsive)
--- a/packages/proxy/src/ferry_proxy/_jobs.py
+++ b/packages/proxy/src/ferry_proxy/_jobs.py
@@ -42,11 +42,11 @@
             policy, group.is_primary_changing, group.leader_found_at
         )
 
-    def note_handed(self, member: str, now: float) -> None:
+    def note_dispatched(self, member: str, now: float) -> None:
         """Records that the request is now sent to a member."""
         leader = self.group.leader
         at_replica = leader is None or leader.member != member
-        self.progress.note_handed(member, at_replica, now)
+        self.progress.note_dispatched(member, at_replica, now)
 
     def command(
         self, floor: decisions.Position | None, prepared_as: str
--- a/packages/proxy/src/ferry_proxy/_member_entries.py
+++ b/packages/proxy/src/ferry_proxy/_member_entries.py
@@ -39,7 +39,7 @@
         members: The members that are listed.
     """
 
-    def __init__(self, ctx: EntriesContext, grace: _grace.ReturnGrace) -> None:
+    def __init__(self, ctx: EntriesContext, grace: _grace.GracePeriod) -> None:
         self._ctx = ctx
         self._grace = grace
         self._births: dict[str, int] = {}
--- a/packages/proxy/src/ferry_proxy/_pools.py
+++ b/packages/proxy/src/ferry_proxy/_pools.py
@@ -19,7 +19,7 @@
 from ferry_proxy import _policy
 from ferry_proxy import _pooled_links
 from ferry_proxy import _queueing
-from ferry_proxy import _shown
+from ferry_proxy import _reported_position
 from ferry_proxy import _teams
 
 PooledLink = _pooled_links.PooledLink
@@ -52,7 +52,7 @@
         self.member = member
         self.limit = limit
         self.parallel = limit
-        self.shown = _shown.Shown(clock)
+        self.reported = _reported_position.ReportedPosition(clock)
         self.contact = _contact.Contact(clock)
         self._draining_since: float | None = None
         self.is_replaced = False
@@ -153,7 +153,7 @@
 
     def discard(self, pooled: PooledLink) -> None:
         """Closes a link that must not be used again."""
-        self.contact.note_trouble()
+        self.contact.note_link_failure()
         pooled.link.close()
         self.release(pooled)
 
@@ -169,9 +169,9 @@
             decisions.RequestFailedError: No reply within the time limit.
         """
         fut = pooled.link.run([command])[0]
-        limit_s = max(self._policy.probe_timeout_s, self.contact.patience_s)
+        limit_s = max(self._policy.probe_timeout_s, self.contact.max_reply_s)
         try:
-            reply: _links.Reply = yield decisions.within(
+            reply: _links.Reply = yield decisions.with_timeout(
                 self._clock, limit_s, fut
             )
         except (decisions.TimeoutExpiredError, _links.LinkLostError) as exc:
@@ -180,12 +180,12 @@
                 decisions.ANSWER_LOST, str(exc)
             ) from exc
         self.note_heard(pooled)
-        self.shown.note(reply.position)
+        self.reported.note(reply.position)
         return reply
 
     def give_back(self, pooled: PooledLink, reply: _links.Reply) -> None:
         """Releases a link, or closes it if its session is not idle."""
-        self.shown.note(reply.position)
+        self.reported.note(reply.position)
         if reply.state is _links.IDLE:
             self.release(pooled)
         else:
@@ -378,7 +378,7 @@
         self._serve()
 
     def _note_failure(self, exc: BaseException) -> None:
-        self.contact.note_trouble()
+        self.contact.note_link_failure()
         backoff_s = self._policy.connect_backoff_s
         if isinstance(exc, _links.ConnectFailedError):
             self.is_replaced = exc.reason is decisions.WRONG_MEMBER
--- a/packages/proxy/src/ferry_proxy/_runners.py
+++ b/packages/proxy/src/ferry_proxy/_runners.py
@@ -30,7 +30,7 @@
     """
 
     failure: decisions.Reason | None
-    used: float
+    last_used_at: float
 
     @property
     def wrote(self) -> bool:
--- a/packages/proxy/src/ferry_proxy/_surveys.py
+++ b/packages/proxy/src/ferry_proxy/_surveys.py
@@ -68,7 +68,7 @@
     def _ask(self, group: _groups.Group, stream: _peers.Peer) -> None:
         asked_at = self._clock.boot_now()
         question = _peer_messages.SurveyRequest(group.service.name)
-        fut = decisions.within(
+        fut = decisions.with_timeout(
             self._clock, SURVEY_WAIT_S, stream.call(question)
         )
         fut.add_done_callback(lambda f: self._take(group, asked_at, f))
--- a/packages/proxy/src/ferry_proxy/tests/fakes.py
+++ b/packages/proxy/src/ferry_proxy/tests/fakes.py
@@ -558,8 +558,8 @@
     peers=2,
     told_version=1,
 )
-NEWS_LIMIT_S = 3.8
-REFUSALS = _refusals.Refusals(lambda: CURRENT, NEWS_LIMIT_S)
+MAX_STORE_AGE_S = 3.8
+REFUSALS = _refusals.Refusals(lambda: CURRENT, MAX_STORE_AGE_S)
 
 
 class Lab:
@@ -588,7 +588,9 @@
             self.clock, self.policy, executor, self.group
         )
         self.evidence = CURRENT
-        self.refusals = _refusals.Refusals(lambda: self.evidence, NEWS_LIMIT_S)
+        self.refusals = _refusals.Refusals(
+            lambda: self.evidence, MAX_STORE_AGE_S
+        )
         self.ctx = _sessions.SessionContext(
             self.clock,
             _metrics.Metrics(),
--- a/packages/proxy/src/ferry_proxy/tests/test_contact.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_contact.py
@@ -35,10 +35,10 @@
         elif step == "hear":
             contact.note_heard()
         elif step == "forgive":
-            contact.forgive(0.5)
+            contact.exclude_pause(0.5)
         else:
             clock.advance(step)
-    assert contact.is_quiet is expected
+    assert contact.is_unresponsive is expected
 
 
 def primary_falls_dark(lab):
--- a/packages/proxy/src/ferry_proxy/tests/test_lives.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_lives.py
@@ -128,7 +128,7 @@
     pool = lab.group.pools[name]
     assert pool is not old
     assert lab.group.last_report(name) is None
-    assert (pool.shown.position, pool.contact.latency_s) == (None, 0.0)
+    assert (pool.reported.position, pool.contact.latency_s) == (None, 0.0)
     assert (lab.group.leader is None) is (name == "a")
 
 
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_claims.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_claims.py
@@ -27,7 +27,7 @@
 class NoPeers:
     """A node that hears of the store from nobody else."""
 
-    streams: list[_followers.Informant] = []
+    streams: list[_followers.PeerInfo] = []
 
 
 class Lab(fakes.Lab):
@@ -163,7 +163,7 @@
 @pytest.mark.parametrize("era", [0, 1, 12])
 def test_keys_of_claims(era, service):
     key = _records.claim_key(era, service)
-    assert _records.claim_of_key(key) == _records.ClaimKey(era, service)
+    assert _records.parse_claim_key(key) == _records.ClaimKey(era, service)
 
 
 def test_claims_of_eras_that_are_over_are_removed():
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_configuration.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_configuration.py
@@ -75,10 +75,12 @@
 def test_what_is_written_again_is_told_once():
     """The whole document may be hundreds of kilobytes."""
     lab = Lab()
-    assert lab.reader.copy.batch_after(decisions.UNREAD).kept is not None
+    assert (
+        lab.reader.copy.batch_after(decisions.UNREAD_REVISION).kept is not None
+    )
     lab.store.put("config", b"9")
     lab.settle()
-    assert lab.reader.copy.batch_after(decisions.UNREAD).kept is None
+    assert lab.reader.copy.batch_after(decisions.UNREAD_REVISION).kept is None
 
 
 def test_what_the_operator_writes_next_counts_everywhere():
