--- a/packages/proxy/src/ferry_proxy/_groups.py
+++ b/packages/proxy/src/ferry_proxy/_groups.py
@@ -1,4 +1,4 @@
-"""One group of members as this node sees it: links, leader and floors."""
+"""This node's view of one database group: pools, primary and floors."""
 
 from collections.abc import Callable
 
@@ -16,16 +16,16 @@
 from ferry_proxy import _proofs
 from ferry_proxy import _queueing
 
-STATUS_ROUND_S = (
-    0.12  # Calm members answer in 5 ms; waiting readers need a floor.
-)
-MEMBERSHIP_CHANGE_S = (
-    10.0  # Members are replaced one after the other, seconds apart.
-)
+# A status round is evaluated after this long. Members without load answer in
+# 5 ms, and waiting reads need the floor that the round yields.
+STATUS_ROUND_S = 0.12
+# Members are replaced one after another, seconds apart. For this long after
+# one joins, more may have joined than are listed.
+MEMBERSHIP_CHANGE_S = 10.0
 
 
 class Group:
-    """The members of one service, and what is known of them."""
+    """The members of one service and their last known state."""
 
     def __init__(
         self,
@@ -70,12 +70,12 @@
         limit: int,
         nodes: int = 1,
     ) -> None:
-        """Takes in which members the group has, and who shares them.
+        """Applies the current member list.
 
         Args:
             members: All members, by id.
             limit: How many links to each this node may open.
-            nodes: How many nodes send them statements.
+            nodes: How many nodes send statements to the members.
         """
         now = self._clock.now()
         if self.pools.keys() != members.keys():
@@ -101,17 +101,16 @@
         self.share_among(nodes)
 
     def share_among(self, nodes: int) -> None:
-        """Sets how many nodes send the members statements now.
+        """Sets how many nodes currently send statements to the members.
 
-        In a data centre that is cut off the slots of its members are left to
-        its own nodes.
+        In a data centre that is cut off, its own nodes alone share the slots.
         """
         for pool in self.pools.values():
             slots = pool.member.slots
             pool.parallel = _queueing.parallel_statements(slots, nodes)
 
     def open_pool(self, member: _members.Member, limit: int = 1) -> _pools.Pool:
-        """Returns new links to a member, listed or not."""
+        """Returns a new pool for a member, which need not be listed."""
         return _pools.Pool(
             self._clock, member, self._connector, self._policy, limit
         )
@@ -127,10 +126,10 @@
             self._lose_leader()
 
     def _forget_restarted(self, pool: _pools.Pool) -> None:
-        """Drops all that is believed of a member that began again.
+        """Discards all state of a member whose process has restarted.
 
-        Its next life is no longer paused, and may be empty. It counts as a
-        further replica for a while, as one does that joins under a new name.
+        The new process is not paused and may be empty. It counts as a further
+        replica for a while, as one does that joins under a new name.
         """
         name = pool.member.id
         pool.close()
@@ -145,40 +144,40 @@
 
     @property
     def leader_pool(self) -> _pools.Pool | None:
-        """The links to the primary, if one is known."""
+        """The pool of the primary, or None if no primary is known."""
         return self.pools.get(self.leader.member) if self.leader else None
 
     @property
     def replicas(self) -> int:
-        """How many members are listed besides the primary."""
+        """The number of listed members other than the primary."""
         return max(0, len(self.pools) - 1)
 
     @property
     def recently_restarted(self) -> int:
-        """How many members began again a short while ago."""
-        late = self._clock.now() - MEMBERSHIP_CHANGE_S
-        return sum(at > late for at in self.restarted_at.values())
+        """How many members restarted within `MEMBERSHIP_CHANGE_S`."""
+        cutoff = self._clock.now() - MEMBERSHIP_CHANGE_S
+        return sum(at > cutoff for at in self.restarted_at.values())
 
     @property
     def proof_size(self) -> int:
-        """How many replicas prove that a primary still leads."""
+        """How many replicas must confirm that the primary still leads."""
         replicas = self.replicas + self.recently_restarted
         return _freshness.proof_size(replicas, self.service.sync_replicas)
 
     @property
     def is_membership_changing(self) -> bool:
-        """Whether members come and go; more may have come than are listed."""
+        """Whether members join or leave; some may not be listed yet."""
         if any(p.member.draining for p in self.pools.values()):
             return True
         return self._clock.now() - self.member_joined_at < MEMBERSHIP_CHANGE_S
 
     @property
     def is_primary_changing(self) -> bool:
-        """Whether a change of primary is believed to be under way or near.
+        """Whether a change of primary is in progress or expected.
 
-        A primary that has fallen silent is back or replaced within a second
-        or two; callers wait for that rather than use up their retries. One
-        that is silent for longer is not being replaced, and nobody waits.
+        A primary that stops responding recovers or is replaced within a second
+        or two, so callers wait instead of using up their retries. One that
+        stays silent for longer is not being replaced, and nobody waits.
         """
         now = self._clock.now()
         if now < self.primary_change_until:
@@ -193,7 +192,7 @@
 
     @property
     def floor_age_s(self) -> float:
-        """Seconds since the newest floor covered all commits."""
+        """Age in seconds of the newest floor that covers all commits."""
         newest = self.floors.newest
         if newest is None:
             return float("inf")
@@ -201,7 +200,7 @@
 
     @property
     def has_failed_contact(self) -> bool:
-        """Whether contact with a member failed and has not come back."""
+        """Whether contact with any member failed and has not recovered."""
         return any(p.contact.link_failing_s > 0 for p in self.pools.values())
 
     def is_near(self, pool: _pools.Pool) -> bool:
@@ -209,30 +208,30 @@
         return pool.member.data_centre == self._data_centre
 
     def is_responsive(self, pool: _pools.Pool) -> bool:
-        """Whether a member answers what it is sent, as far as is known."""
+        """Whether a member is reachable and owes no overdue reply."""
         return not pool.is_unreachable and not pool.contact.is_unresponsive
 
     def expect_primary_change(self) -> None:
-        """Notes that a change of primary has begun."""
+        """Records that a change of primary has begun."""
         self.primary_change_until = (
             self._clock.now() + self._policy.promote_wait_s
         )
 
     def until_leader_changes(self, limit_s: float) -> "decisions.Future[None]":
-        """Returns a future that is done at a new leader or after a time."""
+        """Returns a future that resolves on a new leader or a timeout."""
         timer = decisions.sleep(self._clock, limit_s)
         return decisions.first_completed(self._changed, timer)
 
-    # -- questions -------------------------------------------------------
+    # -- control commands ------------------------------------------------
 
     def refresh(self) -> "decisions.Future[dict[str, _members.Report]]":
-        """Asks all members for their status, in a round begun from now on."""
+        """Joins the next status round, which starts after this call."""
         return self._rounds.join()
 
     def prove(self) -> "decisions.Future[_members.Leader]":
-        """Proves that the leader still leads, by answers from now on.
+        """Confirms, by new status requests, that the leader still leads.
 
-        Fails with `decisions.RequestFailedError` where no proof is to be had.
+        Fails with `decisions.RequestFailedError` if too few replicas confirm.
         """
         return self._proofs.prove()
 
@@ -242,20 +241,20 @@
         """Sends a control command to a member and returns its report.
 
         Raises:
-            decisions.RequestFailedError: The member did not report.
+            decisions.RequestFailedError: The member sent no report.
         """
         report = yield from self._control_commands.ask(pool, command)
         self._last_report[pool.member.id] = report
         return report
 
     def last_report(self, member: str) -> _members.Report | None:
-        """Returns the newest report of a member."""
+        """Returns the latest report of a member, or None."""
         return self._last_report.get(member)
 
-    # -- rounds ----------------------------------------------------------
+    # -- status rounds ---------------------------------------------------
 
     def _round(self) -> "decisions.Flow[dict[str, _members.Report]]":
-        """Asks for at most `STATUS_ROUND_S`; later answers are still taken in."""
+        """Runs a status round; reports after `STATUS_ROUND_S` still count."""
         self.last_round_at = self._clock.now()
         reports: dict[str, _members.Report] = {}
         futs = [
@@ -270,29 +269,31 @@
             decisions.sleep(self._clock, STATUS_ROUND_S),
         )
         self._apply_reports(reports)
-        late = decisions.settle_all(futs, lambda _: False)
-        late.add_done_callback(lambda _: self._end_round(reports))
+        all_done = decisions.settle_all(futs, lambda _: False)
+        all_done.add_done_callback(lambda _: self._end_round(reports))
         return reports
 
     def _members_to_ask(self) -> list[_pools.Pool]:
-        """Returns the primary and one replica, by turns; all in trouble.
+        """Returns the members to request status from in this round.
 
-        Each question costs its member a slot for a moment.
+        Normally the primary, as many replicas as a proof needs, in rotation,
+        and members not heard from lately; all if the primary is in doubt. Each
+        request briefly occupies a slot of its member.
         """
         pools = [p for n, p in self.pools.items() if n not in self._asking]
         leader = self.leader_pool
-        calm = leader is not None and not self.is_primary_changing
-        if leader is None or not calm or not self.is_responsive(leader):
+        is_stable = leader is not None and not self.is_primary_changing
+        if leader is None or not is_stable or not self.is_responsive(leader):
             return pools
         others = [p for p in pools if p is not leader]
         responsive = [p for p in others if self.is_responsive(p)]
         asked = [leader] if leader in pools else []
         self._next_replica += 1
-        late = self._clock.now() - self._policy.idle_probe_s
+        cutoff = self._clock.now() - self._policy.idle_probe_s
         unheard = [
             p
             for p in others
-            if p.contact.heard < late or p.contact.link_failing_s > 0
+            if p.contact.heard < cutoff or p.contact.link_failing_s > 0
         ]
         for number in range(min(self.proof_size, len(responsive))):
             turn = (self._next_replica + number) % len(responsive)
@@ -302,7 +303,7 @@
     def _ask_with_retry(
         self, pool: _pools.Pool, reports: dict[str, _members.Report]
     ) -> "decisions.Flow[None]":
-        """Asks again over another link: one lost link is no lost member."""
+        """Retries once over another link, as a lost link is no lost member."""
         name = pool.member.id
         self._asking.add(name)
         try:
@@ -332,12 +333,12 @@
         sample: _freshness.Sample,
         heard: float,
     ) -> None:
-        """Takes in what a peer found out.
+        """Applies the result of a peer's survey.
 
         Args:
-            leader: Who leads, as the peer knows.
+            leader: The leader known to the peer.
             sample: A floor, with its time in this node's boot time.
-            heard: When the peer heard the primary, in the clock's seconds.
+            heard: When the peer heard from the primary, in clock seconds.
         """
         self.note_leader(leader)
         if self.leader != leader:
@@ -362,7 +363,7 @@
         leader = self.leader
         own = reports.get(leader.member) if leader else None
         if leader is None or own is None or own.term < leader.term:
-            return  # An answer that was late says nothing of this term.
+            return  # A late report from an earlier term.
         if own.role is _members.Role.REPLICA:
             _events.emit(
                 _events.LeaderLost(self.service.name, leader.member, own.term)
@@ -370,14 +371,14 @@
             self._lose_leader()
 
     def note_leader(self, leader: _members.Leader) -> None:
-        """Takes in who leads, unless a later term is known."""
+        """Sets the leader unless one of the same or a later term is known."""
         known = self.leader
-        newer = known is None or leader.term > known.term
-        if leader.term < self.term or not newer:
+        is_newer = known is None or leader.term > known.term
+        if leader.term < self.term or not is_newer:
             return
         if leader.member not in self.pools:
             return
-        before = self.pools.get(self.last_leader)
+        previous = self.pools.get(self.last_leader)
         self.leader = leader
         self.last_leader = leader.member
         self.leader_found_at = self._clock.now()
@@ -386,8 +387,8 @@
         _events.emit(
             _events.LeaderFound(self.service.name, leader.member, leader.term)
         )
-        if before is not None and before is not self.leader_pool:
-            before.reject_callers()
+        if previous is not None and previous is not self.leader_pool:
+            previous.reject_callers()
         changed, self._changed = self._changed, decisions.Future()
         decisions.resolve(changed, None)
 
