--- a/packages/proxy/src/ferry_proxy/_catalogue.py
+++ b/packages/proxy/src/ferry_proxy/_catalogue.py
@@ -14,13 +14,13 @@
 from ferry_proxy import _configuration
 from ferry_proxy import _events
 from ferry_proxy import _grace
-from ferry_proxy import _homes
 from ferry_proxy import _in_force
 from ferry_proxy import _member_entries
 from ferry_proxy import _members
 from ferry_proxy import _policy
 from ferry_proxy import _records
 from ferry_proxy import _store
+from ferry_proxy import _team_placement
 from ferry_proxy import _teams
 
 
@@ -167,9 +167,9 @@
         return self.in_force.version
 
     @property
-    def homes(self) -> _homes.Homes:
+    def team_placement(self) -> _team_placement.TeamPlacement:
         """Which node each team is at home at."""
-        return self.in_force.homes
+        return self.in_force.team_placement
 
     def batch_after(
         self, revision: decisions.Revision, version: int = 0
--- a/packages/proxy/src/ferry_proxy/_execution.py
+++ b/packages/proxy/src/ferry_proxy/_execution.py
@@ -93,7 +93,7 @@
             decisions.RequestFailedError: Whether it is kept is unknown.
         """
         group = job.group
-        took_s = self._clock.now() - job.progress.handed_at
+        took_s = self._clock.now() - job.progress.dispatched_at
         fresh = group.floor_age_s < self._policy.suspect_s
         if fresh and not group.is_in_flux and took_s < self._policy.doubt_s:
             return
@@ -145,9 +145,9 @@
         """Whether a member is left that is likely to run a read now."""
         if job.is_primary_only:
             return False
-        floor = job.group.floors.covering(job.moment)
+        floor = job.group.floors.covering(job.freshness_cutoff)
         return any(
-            not p.shown.lacks(floor) for p in self._untried(job.group, tried)
+            not p.reported.lacks(floor) for p in self._untried(job.group, tried)
         )
 
     def _proved_primary(self, job: _jobs.Job) -> "decisions.Flow[Target]":
@@ -165,10 +165,10 @@
             decisions.RequestFailedError: Nothing recent enough is known.
         """
         group = job.group
-        floor = group.floors.covering(job.moment)
+        floor = group.floors.covering(job.freshness_cutoff)
         if floor is None and self._may_ask(group):
             yield decisions.settled(group.refresh())
-            floor = group.floors.covering(job.moment)
+            floor = group.floors.covering(job.freshness_cutoff)
         if floor is None:
             raise decisions.RequestFailedError(decisions.NO_PRIMARY, "no floor")
         own = job.session_floor
@@ -224,7 +224,7 @@
             is_primary=pool.member.id == leader,
             is_near=group.is_near(pool),
             is_responsive=group.is_responsive(pool),
-            is_behind=pool.shown.lacks(floor),
+            is_behind=pool.reported.lacks(floor),
             in_flight=pool.in_flight,
             slots=pool.member.slots,
             latency_s=pool.contact.latency_s,
@@ -277,7 +277,7 @@
         commands = taken.align(job.values, job.prepared)
         name = taken.prepared[job.prepared] if job.prepared else ""
         pool.note_sent(taken)
-        job.note_handed(pool.member.id, self._clock.now())
+        job.note_dispatched(pool.member.id, self._clock.now())
         return taken.link.run([*commands, job.command(floor, name)])[-1]
 
     def _retry_in_time(self, job: _jobs.Job, reply: _links.Reply) -> bool:
--- a/packages/proxy/src/ferry_proxy/_forwarder.py
+++ b/packages/proxy/src/ferry_proxy/_forwarder.py
@@ -7,11 +7,11 @@
 import ferry_decisions as decisions
 
 from ferry_proxy import _clocks
-from ferry_proxy import _homes
 from ferry_proxy import _peers
 from ferry_proxy import _policy
 from ferry_proxy import _records
 from ferry_proxy import _serving_plan
+from ferry_proxy import _team_placement
 
 QUIET_S = 0.3  # A peer that owes an answer is heard several times in this, or
 # is gone: others are preferred, and reads asked there.
@@ -62,7 +62,7 @@
         mesh: Mesh,
         plan: Callable[[str], _serving_plan.ServingPlan | None],
         seek: Callable[[], object],
-        homes: Callable[[], _homes.Homes],
+        team_placement: Callable[[], _team_placement.TeamPlacement],
     ) -> None:
         """Makes a forwarder.
 
@@ -79,7 +79,7 @@
         self.clock = clock
         self.policy = policy
         self.seek = seek
-        self._homes = homes
+        self._team_placement = team_placement
         self._own = own
         self._mesh = mesh
         self._plan = plan
@@ -136,7 +136,7 @@
             return None
         if team:
             present = [s.peer for s in well or heard]
-            name = self._homes().first(team, plan.nodes, present)
+            name = self._team_placement().acting_node(team, plan.nodes, present)
             return self._mesh.by_name[name]
         near = {n.name for n in plan.near(self._own.data_centre)}
         return min(
@@ -160,8 +160,10 @@
             return False
         present = [s.peer for s in self._serving_well(service)]
         present.append(self._own.name)
-        first = self._homes().first(team, plan.nodes, present)
-        return first != self._own.name
+        acting_node = self._team_placement().acting_node(
+            team, plan.nodes, present
+        )
+        return acting_node != self._own.name
 
     def _serving_well(self, service: str) -> list[Stream]:
         """Returns the streams to peers that serve a group well now."""
--- a/packages/proxy/src/ferry_proxy/_forwarding.py
+++ b/packages/proxy/src/ferry_proxy/_forwarding.py
@@ -221,7 +221,7 @@
         self._number = 0
         self._wrote = False
         self.failure: decisions.Reason | None = None
-        self.used = forwarder.clock.now()
+        self.last_used_at = forwarder.clock.now()
 
     @property
     def wrote(self) -> bool:
@@ -239,7 +239,7 @@
             reply = yield from self._open(request)
         else:
             reply = yield from self._send(request, self._stream, False)
-        self.used = self._forwarder.clock.now()
+        self.last_used_at = self._forwarder.clock.now()
         if reply.reason is not None:
             self.fail(reply.reason)
         elif request.statement.kind is _statements.Kind.COMMIT:
--- a/packages/proxy/src/ferry_proxy/_peer_desk.py
+++ b/packages/proxy/src/ferry_proxy/_peer_desk.py
@@ -6,7 +6,6 @@
 
 import ferry_decisions as decisions
 
-from ferry_proxy import _allowances
 from ferry_proxy import _catalogue
 from ferry_proxy import _clocks
 from ferry_proxy import _followers
@@ -14,6 +13,7 @@
 from ferry_proxy import _members
 from ferry_proxy import _peer_messages
 from ferry_proxy import _peers
+from ferry_proxy import _rate_limiter
 from ferry_proxy import _reach
 from ferry_proxy import _served_groups
 from ferry_proxy import _serving
@@ -45,7 +45,7 @@
         groups: _served_groups.ServedGroups,
         serving: _serving.Serving,
         reach: _reach.Reach,
-        allowances: _allowances.Allowances,
+        rate_limiter: _rate_limiter.RateLimiter,
     ) -> None:
         self.clock = clock
         self.catalogue = catalogue
@@ -53,7 +53,7 @@
         self.groups = groups
         self.serving = serving
         self.reach = reach
-        self.allowances = allowances
+        self.rate_limiter = rate_limiter
 
     def describe(self) -> _peer_messages.Ping:
         """Returns what the peers should know of this node now."""
@@ -122,13 +122,13 @@
         served.group.refresh()
 
 
-@_handles(_allowances.AllowanceRequest)
+@_handles(_rate_limiter.AllowanceRequest)
 def _allow(
     desk: PeerDesk,
     _: _peers.PeerStream,
-    body: _allowances.AllowanceRequest,
-) -> "_allowances.AllowanceReply | decisions.Future[typing.Any]":
-    return desk.allowances.answer(body)
+    body: _rate_limiter.AllowanceRequest,
+) -> "_rate_limiter.AllowanceReply | decisions.Future[typing.Any]":
+    return desk.rate_limiter.answer(body)
 
 
 @_handles(_forward_messages.RunRequest)
--- a/packages/proxy/src/ferry_proxy/_pools.py
+++ b/packages/proxy/src/ferry_proxy/_pools.py
@@ -19,7 +19,7 @@
 from ferry_proxy import _policy
 from ferry_proxy import _pooled_links
 from ferry_proxy import _queueing
-from ferry_proxy import _shown
+from ferry_proxy import _reported_position
 from ferry_proxy import _teams
 
 PooledLink = _pooled_links.PooledLink
@@ -52,7 +52,7 @@
         self.member = member
         self.limit = limit
         self.parallel = limit
-        self.shown = _shown.Shown(clock)
+        self.reported = _reported_position.ReportedPosition(clock)
         self.contact = _contact.Contact(clock)
         self._drains_since: float | None = None
         self.is_replaced = False
@@ -180,12 +180,12 @@
                 decisions.ANSWER_LOST, str(exc)
             ) from exc
         self.note_heard(taken)
-        self.shown.note(reply.position)
+        self.reported.note(reply.position)
         return reply
 
     def give_back(self, taken: PooledLink, reply: _links.Reply) -> None:
         """Gives a link back, or closes it if its state is not idle."""
-        self.shown.note(reply.position)
+        self.reported.note(reply.position)
         if reply.state is _links.IDLE:
             self.release(taken)
         else:
--- a/packages/proxy/src/ferry_proxy/_proxy.py
+++ b/packages/proxy/src/ferry_proxy/_proxy.py
@@ -4,7 +4,6 @@
 import ferry_runtime as runtime
 
 from ferry_proxy import _access
-from ferry_proxy import _allowances
 from ferry_proxy import _catalogue
 from ferry_proxy import _currency
 from ferry_proxy import _events
@@ -20,6 +19,7 @@
 from ferry_proxy import _peer_messages
 from ferry_proxy import _planned_stop
 from ferry_proxy import _policy
+from ferry_proxy import _rate_limiter
 from ferry_proxy import _reach
 from ferry_proxy import _readiness
 from ferry_proxy import _records
@@ -94,7 +94,7 @@
                 self.catalogue,
                 self._follower,
                 self.mesh,
-                self._allowances,
+                self._rate_limiter,
                 self._currency,
             ),
             lambda: self.session_count,
@@ -115,14 +115,14 @@
         self._currency = _currency.Currency(
             loop, self.catalogue, self._follower, self.mesh
         )
-        self._allowances = _allowances.Allowances(
-            _allowances.AllowanceContext(
+        self._rate_limiter = _rate_limiter.RateLimiter(
+            _rate_limiter.RateLimiterContext(
                 clock=loop,
                 policy=self._policy,
                 own=self._own,
                 limit_of=self.catalogue.limit_of,
-                keepers=lambda: self._groups.keepers,
-                homes=lambda: self.catalogue.homes,
+                bucket_owners=lambda: self._groups.bucket_owners,
+                team_placement=lambda: self.catalogue.team_placement,
                 nodes=lambda: self._roster.nodes,
                 streams=lambda: self.mesh.by_name,
             )
@@ -139,7 +139,7 @@
                 promotions=platform.promotions,
                 mesh=self.mesh,
                 metrics=self.metrics,
-                gate=self._allowances,
+                gate=self._rate_limiter,
                 is_stopping=lambda: self.stopping,
             )
         )
@@ -150,7 +150,7 @@
             self.mesh,
             lambda s: self._groups.plans.get(s),
             self._want_peers,
-            lambda: self.catalogue.homes,
+            lambda: self.catalogue.team_placement,
         )
         self.reach = _reach.Reach(
             loop, self._policy, self.mesh, self._groups, self._forwarder
@@ -162,7 +162,7 @@
             self._groups,
             self._serving,
             self.reach,
-            self._allowances,
+            self._rate_limiter,
         )
         self.mesh.open(self._desk, self.ticker)
         self._registrar = _registrar.Registrar(
@@ -325,7 +325,7 @@
     def _check(self) -> None:
         self._currency.look()
         self.reach.judge()
-        self._allowances.check()
+        self._rate_limiter.check()
         self._groups.check()
         if self._needs_seeds:
             self._set_peers()
--- a/packages/proxy/src/ferry_proxy/_requests.py
+++ b/packages/proxy/src/ferry_proxy/_requests.py
@@ -18,7 +18,7 @@
         at_replica: Whether that member was a replica.
         attempts: How often it was handed to a member.
         offered_at: When it was first handed to a member; 0 for never.
-        handed_at: When it was last handed to a member.
+        dispatched_at: When it was last handed to a member.
         via: The serving node that it was forwarded to; empty for none.
     """
 
@@ -26,7 +26,7 @@
     at_replica: bool = False
     attempts: int = 0
     offered_at: float = 0.0
-    handed_at: float = 0.0
+    dispatched_at: float = 0.0
     via: str = ""
 
     def note_offered(self, now: float) -> None:
@@ -34,12 +34,14 @@
         if not self.offered_at:
             self.offered_at = now
 
-    def note_handed(self, member: str, at_replica: bool, now: float) -> None:
+    def note_dispatched(
+        self, member: str, at_replica: bool, now: float
+    ) -> None:
         """Takes in that it goes to a member now."""
         self.member = member
         self.at_replica = at_replica
         self.attempts += 1
-        self.handed_at = now
+        self.dispatched_at = now
         self.note_offered(now)
 
 
@@ -66,7 +68,7 @@
     arrived: float
     arrived_boot: float
     session_floor: decisions.Position | None = None
-    caller: _teams.Caller = _teams.ANYBODY
+    caller: _teams.Caller = _teams.ANONYMOUS
     progress: Progress = attrs.field(factory=Progress)
 
     @property
@@ -88,7 +90,7 @@
         return self.statement.kind is _statements.Kind.WRITE
 
     @property
-    def moment(self) -> float:
+    def freshness_cutoff(self) -> float:
         """The boot time whose earlier commits a read has to show."""
         return self.arrived_boot - self.route.max_staleness_s
 
--- a/packages/proxy/src/ferry_proxy/_runners.py
+++ b/packages/proxy/src/ferry_proxy/_runners.py
@@ -25,7 +25,7 @@
     """What a session needs of its transaction."""
 
     failure: decisions.Reason | None
-    used: float
+    last_used_at: float
 
     @property
     def wrote(self) -> bool:
--- a/packages/proxy/src/ferry_proxy/_served_groups.py
+++ b/packages/proxy/src/ferry_proxy/_served_groups.py
@@ -5,7 +5,6 @@
 
 import attrs
 
-from ferry_proxy import _allowances
 from ferry_proxy import _catalogue
 from ferry_proxy import _clocks
 from ferry_proxy import _configuration
@@ -18,6 +17,7 @@
 from ferry_proxy import _peers
 from ferry_proxy import _policy
 from ferry_proxy import _promotions
+from ferry_proxy import _rate_limiter
 from ferry_proxy import _records
 from ferry_proxy import _runners
 from ferry_proxy import _serving_plan
@@ -99,7 +99,7 @@
         self._planned: _PlanInputs | None = None
         self._planner: _serving_plan.Planner | None = None
         self._begun = ctx.clock.now()
-        self.keepers = _allowances.Keepers()
+        self.bucket_owners = _rate_limiter.BucketOwners()
 
     @property
     def plans(self) -> Mapping[str, _serving_plan.ServingPlan]:
@@ -142,7 +142,7 @@
         }
         if found and self._ctx.policy.has_teams:
             nodes = self._ctx.nodes()
-            names = self.keepers.names
+            names = self.bucket_owners.names
             found.update({n: nodes[n] for n in names if n in nodes})
         found.pop(self._ctx.own.name, None)
         return list(found.values())
@@ -192,10 +192,10 @@
         self._plans = {n: planner.plan(n, m) for n, m in limits.items()}
 
     def _set_keepers(self, planner: _serving_plan.Planner) -> None:
-        names = planner.keepers()
-        if names != self.keepers.names:
+        names = planner.bucket_owners()
+        if names != self.bucket_owners.names:
             since = self._ctx.clock.now()
-            self.keepers = _allowances.Keepers(names, since)
+            self.bucket_owners = _rate_limiter.BucketOwners(names, since)
 
     def _apply_service(
         self,
--- a/packages/proxy/src/ferry_proxy/_transactions.py
+++ b/packages/proxy/src/ferry_proxy/_transactions.py
@@ -40,7 +40,7 @@
         self._taken: _pooled_links.PooledLink | None = None
         self._wrote = False
         self.failure: decisions.Reason | None = None
-        self.used = clock.now()
+        self.last_used_at = clock.now()
 
     @property
     def wrote(self) -> bool:
@@ -71,7 +71,7 @@
         except decisions.RequestFailedError as exc:
             self.fail(exc.reason)
             raise
-        self.used = self._clock.now()
+        self.last_used_at = self._clock.now()
         if reply.reason is not None:
             self.fail(reply.reason)
         elif job.statement.kind is _statements.Kind.COMMIT:
--- a/packages/proxy/src/ferry_proxy/tests/test_forwarding.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_forwarding.py
@@ -9,13 +9,13 @@
 from ferry_proxy import _forward_messages
 from ferry_proxy import _forwarder
 from ferry_proxy import _forwarding
-from ferry_proxy import _homes
 from ferry_proxy import _peer_messages
 from ferry_proxy import _peers
 from ferry_proxy import _records
 from ferry_proxy import _serving
 from ferry_proxy import _serving_plan
 from ferry_proxy import _statements
+from ferry_proxy import _team_placement
 from ferry_proxy.tests import fakes
 
 STATES = _statements.TransactionState
@@ -121,7 +121,7 @@
         self.plan = _serving_plan.ServingPlan(entries, 4)
         own = _records.NodeEntry("entry", "h", 1, "hall-b")
         self.seeks = 0
-        self.homes = _homes.Homes({})
+        self.team_placement = _team_placement.TeamPlacement({})
         self.forwarder = _forwarder.Forwarder(
             self.clock,
             self.policy,
@@ -129,7 +129,7 @@
             self.mesh,
             lambda _: self.plan,
             self._seek,
-            lambda: self.homes,
+            lambda: self.team_placement,
         )
         self.local, self.runner = (
             self.runner,
--- a/packages/proxy/src/ferry_proxy/tests/test_lives.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_lives.py
@@ -128,7 +128,7 @@
     pool = lab.group.pools[name]
     assert pool is not old
     assert lab.group.last_report(name) is None
-    assert (pool.shown.position, pool.contact.latency_s) == (None, 0.0)
+    assert (pool.reported.position, pool.contact.latency_s) == (None, 0.0)
     assert (lab.group.leader is None) is (name == "a")
 
 
