--- a/packages/proxy/src/ferry_proxy/_access.py
+++ b/packages/proxy/src/ferry_proxy/_access.py
@@ -1,9 +1,9 @@
-"""Who a caller is: the team that holds its key, at each statement anew.
+"""Identification of callers by their keys, anew for each statement.
 
-Answers keys that are taken away or move to another team while their callers
-are connected, and statements that pass through two nodes of which one has
-heard of it and the other has not: the newer configuration decides, and never
-an older one after it.
+A key may be revoked or move to another team while callers that use it are
+connected. A statement may also pass through two nodes of which only one knows
+of such a change. The newer configuration decides in that case; an older one
+never overrides it.
 """
 
 from collections.abc import Callable
@@ -15,17 +15,19 @@
 from ferry_proxy import _refusals
 from ferry_proxy import _teams
 
-SHOWN_DIGITS = 8  # Of a key's digest in messages: enough to tell keys apart.
+# How many hexadecimal digits of a key's digest messages contain: enough to tell
+# keys apart.
+DIGEST_DIGITS_SHOWN = 8
 
 
 @attrs.frozen(slots=True)
 class Access:
-    """Tells in whose name statements run.
+    """Identifies the team that a statement runs for.
 
     Attributes:
         has_teams: Whether callers belong to teams.
-        configuration: Returns the configuration in force.
-        refusals: Makes refusals of what it does not allow.
+        configuration: Returns the active configuration; None before the first.
+        refusals: Creates the errors for keys without a team.
     """
 
     has_teams: bool
@@ -33,14 +35,14 @@
     refusals: _refusals.Refusals
 
     def identify(self, route: _configuration.Route, key: str) -> _teams.Caller:
-        """Returns in whose name a caller's statement runs.
+        """Returns the identity that a caller's statement runs under.
 
         Args:
-            route: The route that it is under.
-            key: What the caller said of itself.
+            route: The route of the caller's database.
+            key: The key that the caller sent.
 
         Raises:
-            decisions.RequestFailedError: No team holds the key.
+            decisions.RequestFailedError: The key belongs to no team.
         """
         cfg = self.configuration()
         if not self.has_teams or route.is_open or cfg is None:
@@ -52,14 +54,14 @@
         return _teams.Caller(team, digest, cfg.version)
 
     def confirm(self, caller: _teams.Caller) -> _teams.Caller:
-        """Returns in whose name another node's statement runs here.
+        """Returns the identity that a forwarded statement runs under here.
 
         Args:
-            caller: Who the other node says that it is.
+            caller: The identity that the forwarding node found.
 
         Raises:
-            decisions.RequestFailedError: A newer configuration gives the key
-                to no team.
+            decisions.RequestFailedError: By this node's configuration, which
+                is no older than the other node's, the key belongs to no team.
         """
         cfg = self.configuration()
         if cfg is None or not caller.team or cfg.version < caller.version:
@@ -70,7 +72,7 @@
         return attrs.evolve(caller, team=team, version=cfg.version)
 
     def _refused(self, digest: bytes) -> decisions.RequestFailedError:
-        shown = digest.hex()[:SHOWN_DIGITS]
+        shown = digest.hex()[:DIGEST_DIGITS_SHOWN]
         return self.refusals.of(
             decisions.LOGIN_REFUSED, f"no team holds key {shown}"
         )
--- a/packages/proxy/src/ferry_proxy/_clocks.py
+++ b/packages/proxy/src/ferry_proxy/_clocks.py
@@ -1,4 +1,4 @@
-"""The clocks that the proxy decides by."""
+"""The clock interface that the proxy uses."""
 
 import typing
 
@@ -6,7 +6,7 @@
 
 
 class Clock(decisions.TimerService, typing.Protocol):
-    """A timer service that also counts the time of a suspended machine."""
+    """A timer service with a second clock that includes suspended time."""
 
     def boot_now(self) -> float:
-        """Returns seconds since some start, suspended time included."""
+        """Returns seconds since an arbitrary origin, suspension included."""
--- a/packages/proxy/src/ferry_proxy/_events.py
+++ b/packages/proxy/src/ferry_proxy/_events.py
@@ -1,12 +1,12 @@
-"""The log's events: one JSON line each, typed, and bounded in number.
+"""Typed events of the log, written as JSON lines at a bounded rate.
 
-A line names its event and its fields; times are in seconds. Lines go to
-standard output and never block: what a stalled reader does not take is left
-out and counted. Ordinary requests have a budget of lines a second; failures
-have one of their own.
+Each line holds the name of an event and its fields; times are in seconds. Lines
+are written to standard output without blocking: lines that a stalled reader
+does not accept are dropped and counted. Successful requests and failures have
+separate budgets of lines a second.
 
-Events and messages have no `repr` of their own: each that attrs generates costs
-0.4 ms of a node's start.
+Event and message classes have no generated `repr`: each one that attrs
+generates adds 0.4 ms to the start of a node.
 """
 
 import json
@@ -18,49 +18,54 @@
 import attrs
 import ferry_decisions as decisions
 
-REQUESTS_PER_S = 5.0  # Lines for requests that went well.
-FAILURES_PER_S = 40.0  # Lines for what was refused or failed.
-BURST_S = 2.0  # Seconds of budget that may be saved up.
+# The budget of lines a second for successful requests.
+REQUESTS_PER_S = 5.0
+
+# The budget of lines a second for refusals and failures.
+FAILURES_PER_S = 40.0
+
+# An unused budget accumulates for at most this time.
+BURST_S = 2.0
 
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class NodeStarted:
-    """A process began."""
+    """The process of a node has started."""
 
     data_centre: str
 
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class NodeStopping:
-    """A planned stop began."""
+    """A planned stop has started."""
 
     sessions: int
 
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class NodeStopped:
-    """A process ends; `cut` counts sessions that were still busy."""
+    """The process ends; `cut` counts the sessions that were still busy."""
 
     cut: int
 
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class NodeRemoved:
-    """A node that has long been out of reach is taken off the list."""
+    """A node that was unreachable for long is removed from the list."""
 
     name: str
 
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class SettingsReloaded:
-    """The settings were read again."""
+    """The settings were reloaded; `changed` tells whether they differ."""
 
     changed: bool
 
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class Ready:
-    """The node began or ceased to want new sessions."""
+    """The node has started or stopped accepting new sessions."""
 
     ready: bool
     why: str
@@ -68,7 +73,7 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class DependencyLost:
-    """Something that the node needs does not answer."""
+    """A dependency of the node does not answer."""
 
     name: str
     detail: str
@@ -76,14 +81,14 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class DependencyBack:
-    """It answers again."""
+    """A lost dependency answers again."""
 
     name: str
 
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class StoreRestored:
-    """The store came back from an older copy; `source` tells who said so."""
+    """The store was restored from an older copy, as `source` reported."""
 
     era: int
     source: str
@@ -91,17 +96,17 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class ItemsRead:
-    """All items were read, since changes could not be followed.
+    """All items were read, since the changes could not be followed.
 
     Attributes:
-        source: The store or a peer.
-        era: The era in which they were answered.
-        revision: The number at which they were answered.
+        source: The store or the peer that they were read from.
+        era: The era of the reply.
+        revision: The revision number of the reply.
         known_era: The era up to which the node had known all changes.
-        known: The number up to which it had.
-        items: How many there are.
-        passed_over: How many of them the node held to be no newer than its
-            own.
+        known: The revision number up to which it had known them.
+        items: The number of items.
+        passed_over: The number of items that were no newer than the node's
+            own and were ignored.
     """
 
     source: str
@@ -115,7 +120,7 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class ConfigurationTaken:
-    """A configuration is in force; `source` is the store or a peer."""
+    """A configuration is active now; `source` is the store or a peer."""
 
     version: int
     era: int
@@ -125,13 +130,13 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class RefusedByConfiguration:
-    """A caller was refused what the configuration does not allow.
+    """A caller was refused because of the configuration.
 
     Attributes:
         reason: The name of the reason.
-        subject: The database, or what stands for the caller's key.
-        doubt: Why it was not refused for good; empty if it was.
-        evidence: What the configuration's age was judged by.
+        subject: The database, or the digest of the caller's key.
+        doubt: Why the refusal is not final; empty if it is.
+        evidence: How the configuration was found to be current or outdated.
     """
 
     reason: str
@@ -142,7 +147,7 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class DocumentRefused:
-    """A document in the store is invalid and was passed over."""
+    """A document in the store is invalid and was ignored."""
 
     key: str
     revision: int
@@ -151,7 +156,7 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class TeamsPassedOver:
-    """Teams or keys of a configuration that is in force name nobody to use."""
+    """Teams or keys of the active configuration are unusable."""
 
     version: int
     detail: str
@@ -159,12 +164,13 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class LimitUsed:
-    """What a node gave of a team's limit in half a second.
+    """The use of a team's rate limit at a node in half a second.
 
     Attributes:
         team: The team.
-        share: The part of all limits that the node gives out.
-        use: What it gave, to whom, and what a new bucket began with.
+        share: The share of all limits that the node grants.
+        use: The tokens granted, by recipient, and the initial tokens of a new
+            bucket.
     """
 
     team: str
@@ -174,7 +180,7 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class MemberChanged:
-    """A member appeared, changed or went."""
+    """A member was added, changed or removed."""
 
     member: str
     service: str
@@ -183,7 +189,7 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class LeaderFound:
-    """A primary is followed from now on."""
+    """A primary was found, and the node follows it from now on."""
 
     service: str
     member: str
@@ -192,7 +198,7 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class LeaderLost:
-    """The primary that was followed leads no more."""
+    """The primary that the node followed is no longer the leader."""
 
     service: str
     member: str
@@ -201,7 +207,7 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class PrimarySuspected:
-    """A change of primary is wanted; `peers` counts those who agree."""
+    """A change of primary is proposed; `peers` counts the peers in favour."""
 
     service: str
     member: str
@@ -212,7 +218,7 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class PromotionStep:
-    """A step of a change of primary."""
+    """A step in a change of primary."""
 
     service: str
     step: str
@@ -223,9 +229,9 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class RequestDone:
-    """The outcome of a request, and what decided it.
+    """The outcome of a request, and how it came about.
 
-    `via` names the serving node that it was forwarded to, if it was.
+    `via` names the serving node that it was forwarded to, if any.
     """
 
     request: str
@@ -244,7 +250,7 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class RequestServed:
-    """What a serving node did for a request of another node, its entry."""
+    """A serving node has run a request that its `entry` node forwarded."""
 
     request: str
     entry: str
@@ -259,7 +265,7 @@
 
 @attrs.frozen(slots=True, repr=False, eq=False)
 class LinesLeftOut:
-    """How many lines were left out since the last such line."""
+    """The numbers of lines dropped since the last such line."""
 
     requests: int
     failures: int
@@ -271,27 +277,27 @@
 
 
 class _Budget:
-    """A number of lines a second."""
+    """A token bucket for log lines."""
 
     def __init__(self, per_s: float) -> None:
         self._per_s = per_s
-        self._left = per_s * BURST_S
-        self._at = time.monotonic()
+        self._tokens = per_s * BURST_S
+        self._refilled_at = time.monotonic()
 
     def take(self) -> bool:
-        """Whether one more line is within the budget."""
+        """Takes a token; returns whether there was one."""
         now = time.monotonic()
-        gained = (now - self._at) * self._per_s
-        self._left = min(self._per_s * BURST_S, self._left + gained)
-        self._at = now
-        if self._left < 1.0:
+        gained = (now - self._refilled_at) * self._per_s
+        self._tokens = min(self._per_s * BURST_S, self._tokens + gained)
+        self._refilled_at = now
+        if self._tokens < 1.0:
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
 
 
 class EventLog:
-    """Writes events as lines, within budgets and without blocking."""
+    """Writes events as JSON lines, within budgets and without blocking."""
 
     def __init__(self, node: str, fd: int | None = None) -> None:
         self._node = node
@@ -299,54 +305,54 @@
         os.set_blocking(self._fd, False)
         self._requests = _Budget(REQUESTS_PER_S)
         self._failures = _Budget(FAILURES_PER_S)
-        self._rest = b""
-        self._left_out = _zero()
+        self._unsent = b""
+        self._dropped = _zero_counts()
         self._report_at = 0.0
 
     def write(self, event: attrs.AttrsInstance) -> None:
-        """Writes an event, if its budget allows."""
-        if isinstance(event, _BOUNDED) and not self._allowed(event):
+        """Writes an event, unless its budget is used up."""
+        if isinstance(event, _BOUNDED) and not self._is_within_budget(event):
             return
         now = time.monotonic()
-        if any(self._left_out.values()) and now >= self._report_at:
+        if any(self._dropped.values()) and now >= self._report_at:
             self._report_at = now + 1.0
-            counts, self._left_out = self._left_out, _zero()
-            self._line(LinesLeftOut(**counts))
-        self._line(event)
+            counts, self._dropped = self._dropped, _zero_counts()
+            self._write_line(LinesLeftOut(**counts))
+        self._write_line(event)
 
-    def _allowed(self, event: attrs.AttrsInstance) -> bool:
-        went_well = isinstance(event, _SUCCESSES) and event.outcome == "ran"
-        budget = self._requests if went_well else self._failures
+    def _is_within_budget(self, event: attrs.AttrsInstance) -> bool:
+        succeeded = isinstance(event, _SUCCESSES) and event.outcome == "ran"
+        budget = self._requests if succeeded else self._failures
         if budget.take():
             return True
-        self._left_out["requests" if went_well else "failures"] += 1
+        self._dropped["requests" if succeeded else "failures"] += 1
         return False
 
-    def _line(self, event: attrs.AttrsInstance) -> None:
+    def _write_line(self, event: attrs.AttrsInstance) -> None:
         fields = {
             "at": round(time.time(), 4),
             "node": self._node,
             "event": type(event).__name__,
             **attrs.asdict(event, value_serializer=_json_value),
         }
-        data = self._rest + json.dumps(fields, default=str).encode() + b"\n"
+        data = self._unsent + json.dumps(fields, default=str).encode() + b"\n"
         try:
             sent = os.write(self._fd, data)
-        except OSError:  # Most often: nobody reads, and the pipe is full.
-            self._left_out["blocked"] += 1
+        except OSError:  # Usually a full pipe that nobody reads from.
+            self._dropped["blocked"] += 1
             return
-        # The rest of a half-written line goes before the next one.
-        self._rest = data[sent:]
+        # The rest of a partly written line precedes the next line.
+        self._unsent = data[sent:]
 
 
 def _json_value(_: object, __: object, value: object) -> object:
-    """Returns a value that JSON has: None for an infinite number."""
+    """Returns a value that JSON can hold: None for infinities and NaN."""
     if isinstance(value, float) and not math.isfinite(value):
         return None
     return value
 
 
-def _zero() -> dict[str, int]:
+def _zero_counts() -> dict[str, int]:
     return {"requests": 0, "failures": 0, "blocked": 0}
 
 
@@ -354,12 +360,12 @@
 
 
 def start_log(log: EventLog) -> None:
-    """Sends this process's events to a log."""
+    """Sends the events of this process to a log."""
     _logs[:] = [log]
 
 
 def emit(event: attrs.AttrsInstance) -> None:
-    """Writes an event to the process's log; without one, to absl's."""
+    """Writes an event to the process's log, or to absl's if there is none."""
     for log in _logs:
         log.write(event)
     if not _logs:
--- a/packages/proxy/src/ferry_proxy/_execution.py
+++ b/packages/proxy/src/ferry_proxy/_execution.py
@@ -1,4 +1,8 @@
-"""Running single statements: reads anywhere fresh enough, writes once."""
+"""Execution of statements outside of transactions.
+
+Reads go to any member that is fresh enough. Writes are sent again only if they
+cannot have run.
+"""
 
 import attrs
 import ferry_decisions as decisions
@@ -12,18 +16,24 @@
 from ferry_proxy import _pools
 from ferry_proxy import _routing
 
-RETRY_PAUSE_S = 0.015  # About one short statement at a member.
-FLOOR_RETRY_S = 0.2  # Between rounds that readers cause for want of a floor.
-NO_FLOOR_PAUSE_S = 0.05  # Before a reader looks again for a floor.
+# The pause before a retry: about the time of one short statement at a member.
+RETRY_PAUSE_S = 0.015
+
+# The shortest time between status rounds that are started for want of a floor.
+FLOOR_REFRESH_INTERVAL_S = 0.2
+
+# The pause before a read without a floor looks for one again.
+NO_FLOOR_PAUSE_S = 0.05
 
 
 @attrs.frozen(slots=True)
 class Target:
-    """A member that a read may go to.
+    """A member that a read may run at.
 
     Attributes:
-        pool: The links to it.
-        floor: What it has to show; None where its lead is proved.
+        pool: The pool of links to it.
+        floor: The log position that it must have reached; None for a primary
+            that has proved that it still leads.
     """
 
     pool: _pools.Pool
@@ -31,18 +41,18 @@
 
 
 class Executor:
-    """Runs statements outside of transactions, and chooses members."""
+    """Runs single statements and selects the members that run them."""
 
     def __init__(self, clock: _clocks.Clock, policy: _policy.Policy) -> None:
         self._clock = clock
         self._policy = policy
 
     def write(self, job: _jobs.Job) -> "decisions.Flow[_links.Reply]":
-        """Runs a single write: handed over once.
+        """Runs a single write, which is retried only if it cannot have run.
 
         Raises:
-            decisions.RequestFailedError: No answer; its reason tells whether
-                the write may have run.
+            decisions.RequestFailedError: There is no reply; the reason tells
+                whether the write may have run.
         """
         while True:
             reply = yield from self._write_once(job)
@@ -59,22 +69,23 @@
     def _write_once(
         self, job: _jobs.Job
     ) -> "decisions.Flow[_links.Reply | None]":
-        """Hands a write over; returns None where no link took it.
+        """Sends a write; returns None if it never reached a link.
 
         Raises:
-            decisions.RequestFailedError: No answer, or no time is left.
+            decisions.RequestFailedError: There is no reply, or no time left to
+                retry.
         """
         pool = yield from self.primary(job)
         hold = job.hold_end(self._policy)
         try:
-            taken = yield pool.acquire(
+            pooled_link = yield pool.acquire(
                 _pools.Use.STATEMENT,
                 job.route.priority,
                 hold,
                 job.values,
                 job.caller.team,
             )
-            return (yield from self.hand_over(job, pool, taken, None))
+            return (yield from self.run_on_link(job, pool, pooled_link, None))
         except decisions.RequestFailedError as exc:
             retry = exc.reason is decisions.NO_CONNECTION
             if not retry or self._clock.now() >= hold:
@@ -82,15 +93,17 @@
             return None
 
     def confirm(self, job: _jobs.Job) -> "decisions.Flow[None]":
-        """Makes sure that an acknowledged commit is of a term that goes on.
+        """Ensures that an acknowledged commit survives a change of primary.
 
-        A replica that joins a primary after the others were paused would let
-        it acknowledge what its successor lacks. So a commit that took long,
-        or that comes while no floor is fresh or members come and go, counts
-        only with a proof.
+        A replica that joins a primary after the other replicas were paused
+        would let it acknowledge commits that its successor lacks. A commit
+        that took long, or that ends while there is no fresh floor or while
+        members come and go, is therefore confirmed by a proof that the primary
+        still leads.
 
         Raises:
-            decisions.RequestFailedError: Whether it is kept is unknown.
+            decisions.RequestFailedError: It is unknown whether the commit is
+                durable.
         """
         group = job.group
         took_s = self._clock.now() - job.progress.dispatched_at
@@ -105,10 +118,11 @@
             ) from exc
 
     def primary(self, job: _jobs.Job) -> "decisions.Flow[_pools.Pool]":
-        """Waits for a primary that may be reached.
+        """Waits until there is a primary that can be reached.
 
         Raises:
-            decisions.RequestFailedError: There is none in time.
+            decisions.RequestFailedError: There is none before the hold time
+                ends.
         """
         while True:
             pool = job.group.leader_pool
@@ -124,14 +138,15 @@
     def target(
         self, job: _jobs.Job, tried: set[str]
     ) -> "decisions.Flow[Target]":
-        """Chooses the member of a read.
+        """Selects the member that a read runs at.
 
         Args:
             job: The read.
-            tried: Members to pass over where others are left.
+            tried: The ids of members that are not selected again.
 
         Raises:
-            decisions.RequestFailedError: None can show what it needs.
+            decisions.RequestFailedError: No member is usable, or no
+                floor is known.
         """
         if job.is_primary_only:
             return (yield from self._proved_primary(job))
@@ -142,7 +157,7 @@
         return Target(pool, floor)
 
     def has_other(self, job: _jobs.Job, tried: set[str]) -> bool:
-        """Whether a member is left that is likely to run a read now."""
+        """Whether an untried member is likely to be fresh enough for a read."""
         if job.is_primary_only:
             return False
         floor = job.group.floors.covering(job.freshness_cutoff)
@@ -159,14 +174,15 @@
         return Target(pool, None)
 
     def floor(self, job: _jobs.Job) -> "decisions.Flow[decisions.Position]":
-        """Returns what a read of the job has to show.
+        """Returns the log position that a read must reflect.
 
         Raises:
-            decisions.RequestFailedError: Nothing recent enough is known.
+            decisions.RequestFailedError: No position is known that is recent
+                enough.
         """
         group = job.group
         floor = group.floors.covering(job.freshness_cutoff)
-        if floor is None and self._may_ask(group):
+        if floor is None and self._may_refresh(group):
             yield decisions.settled(group.refresh())
             floor = group.floors.covering(job.freshness_cutoff)
         if floor is None:
@@ -174,9 +190,9 @@
         own = job.session_floor
         return floor if own is None else max(floor, own)
 
-    def _may_ask(self, group: _groups.Group) -> bool:
-        """Whether a round of questions now could tell more than the last."""
-        recent = self._clock.now() - group.round_at < FLOOR_RETRY_S
+    def _may_refresh(self, group: _groups.Group) -> bool:
+        """Whether a new status round could find a more recent floor."""
+        recent = self._clock.now() - group.round_at < FLOOR_REFRESH_INTERVAL_S
         return group.leader is not None and not recent
 
     def _choose(
@@ -196,16 +212,16 @@
     def _untried(
         self, group: _groups.Group, tried: set[str]
     ) -> list[_pools.Pool]:
-        """Returns the members that a read may go to; none that leaves.
+        """Returns the pools of members that a read may still be sent to.
 
-        Unless all leave: a request must not reach one that has long been
-        leaving, however many others were tried before.
+        Members that are draining count only if all are: a request must not
+        reach one that has long been draining, however many others were tried.
         """
         listed = group.pools.values()
-        staying = [p for p in listed if not p.member.draining]
+        not_draining = [p for p in listed if not p.member.draining]
         return [
             p
-            for p in staying or listed
+            for p in not_draining or listed
             if p.member.id not in tried
             and p.may_take_work
             and not p.is_unreachable
@@ -232,56 +248,57 @@
             has_link=pool.has_link(job.caller.team),
         )
 
-    def hand_over(
+    def run_on_link(
         self,
         job: _jobs.Job,
         pool: _pools.Pool,
-        taken: _pooled_links.PooledLink,
+        pooled_link: _pooled_links.PooledLink,
         floor: decisions.Position | None,
     ) -> "decisions.Flow[_links.Reply]":
-        """Runs a statement on a link of the pool and gives the link back.
+        """Runs a statement on a link and returns the link to its pool.
 
         Raises:
-            decisions.RequestFailedError: No answer in time, or the link was
-                lost; the statement may have run unless the reason says not.
+            decisions.RequestFailedError: There was no reply in time, or the
+                link was lost. The statement may have run unless the reason
+                rules it out.
         """
-        begun = self._clock.now()
-        fut = self.send(job, pool, taken, floor)
-        limit = job.deadline - begun
+        started_at = self._clock.now()
+        fut = self.send(job, pool, pooled_link, floor)
+        limit = job.deadline - started_at
         try:
             reply: _links.Reply = yield decisions.within(
                 self._clock, limit, fut
             )
         except decisions.TimeoutExpiredError as exc:
-            pool.discard(taken)
+            pool.discard(pooled_link)
             raise decisions.RequestFailedError(
                 decisions.ANSWER_LOST, "no answer in time"
             ) from exc
         except _links.LinkLostError as exc:
-            pool.discard(taken)
+            pool.discard(pooled_link)
             lost = decisions.ANSWER_LOST
             reason = lost if exc.handed else decisions.NO_CONNECTION
             raise decisions.RequestFailedError(reason, str(exc)) from exc
-        pool.note_heard(taken, self._clock.now() - begun)
-        pool.give_back(taken, reply)
+        pool.note_heard(pooled_link, self._clock.now() - started_at)
+        pool.give_back(pooled_link, reply)
         return reply
 
     def send(
         self,
         job: _jobs.Job,
         pool: _pools.Pool,
-        taken: _pooled_links.PooledLink,
+        pooled_link: _pooled_links.PooledLink,
         floor: decisions.Position | None,
     ) -> "decisions.Future[_links.Reply]":
-        """Sends a statement with the session state that it needs."""
-        commands = taken.align(job.values, job.prepared)
-        name = taken.prepared[job.prepared] if job.prepared else ""
-        pool.note_sent(taken)
+        """Sends a statement, preceded by the session state that it needs."""
+        commands = pooled_link.align(job.values, job.prepared)
+        name = pooled_link.prepared[job.prepared] if job.prepared else ""
+        pool.note_sent(pooled_link)
         job.note_dispatched(pool.member.id, self._clock.now())
-        return taken.link.run([*commands, job.command(floor, name)])[-1]
+        return pooled_link.link.run([*commands, job.command(floor, name)])[-1]
 
     def _retry_in_time(self, job: _jobs.Job, reply: _links.Reply) -> bool:
-        """Whether what did not run may be tried again."""
+        """Whether there is time to retry a statement that did not run."""
         if reply.reason is decisions.UNKNOWN_PREPARED:
             return False
         until = job.retry_until
--- a/packages/proxy/src/ferry_proxy/_gates.py
+++ b/packages/proxy/src/ferry_proxy/_gates.py
@@ -1,4 +1,4 @@
-"""What an operation passes before it may ask for a link."""
+"""Admission of operations before they acquire a link."""
 
 import typing
 
@@ -6,29 +6,29 @@
 
 
 class Gate(typing.Protocol):
-    """Lets operations of teams begin, within their limits."""
+    """Admits operations of teams within their rate limits."""
 
     def admit(self, team: str) -> "decisions.Flow[None]":
-        """Lets an operation of a team begin.
+        """Admits an operation of a team.
 
         Raises:
-            decisions.RequestFailedError: Its limit is reached.
+            decisions.RequestFailedError: The team's limit is reached.
         """
 
     def give_back(self, team: str) -> None:
-        """Takes in that an operation that was let begin did not run."""
+        """Takes the token of an operation back that did not run."""
 
 
 class OpenGate:
-    """Lets all operations begin: where teams have no limits."""
+    """Admits every operation; used where teams have no limits."""
 
     def admit(self, team: str) -> "decisions.Flow[None]":
-        """Lets an operation begin."""
+        """Admits the operation."""
         del team
         yield from ()
 
     def give_back(self, team: str) -> None:
-        """Counts nothing."""
+        """Does nothing, since no tokens are counted."""
 
 
 OPEN = OpenGate()
--- a/packages/proxy/src/ferry_proxy/_gauges.py
+++ b/packages/proxy/src/ferry_proxy/_gauges.py
@@ -1,4 +1,4 @@
-"""The figures of a node that are read when its metrics are asked for."""
+"""Registration of a node's gauges."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen(slots=True)
 class Sources:
-    """The parts of a node that know the figures."""
+    """The components of a node that the gauges read."""
 
     catalogue: _catalogue.Catalogue
     follower: _followers.Follower
@@ -28,12 +28,12 @@
     sources: Sources,
     session_count: Callable[[], int],
 ) -> None:
-    """Adds the gauges of a node.
+    """Adds the gauges of a node to its metrics.
 
     Args:
-        metrics: Where to.
-        sources: Who knows the figures.
-        session_count: Returns how many sessions are open.
+        metrics: The metrics that the gauges are added to.
+        sources: The components that they read.
+        session_count: Returns the number of open sessions.
     """
     catalogue = sources.catalogue
     gauges: dict[str, Callable[[], float]] = {
--- a/packages/proxy/src/ferry_proxy/_identity.py
+++ b/packages/proxy/src/ferry_proxy/_identity.py
@@ -1,4 +1,4 @@
-"""Who a node is, and through what it reaches the outside."""
+"""The identity of a node and its adapters to the platform."""
 
 import attrs
 
@@ -9,17 +9,17 @@
 
 @attrs.frozen(slots=True)
 class NodeIdentity:
-    """Who a node is and how it is stopped.
+    """The identity and the resources of a node.
 
     Attributes:
         name: Its name, unique among nodes.
-        host: Its IP number.
-        data_centre: Where it runs.
+        host: Its IP address.
+        data_centre: The data centre that it runs in.
         peer_port: The port that peers connect to.
-        seeds: Addresses of peers, to begin with when the store is away.
-        grace_s: Seconds from the stop signal to the kill.
-        cores: Processor time that it gets, in seconds a second; 0 if unknown.
-        link_mbps: What its network link carries, in Mbit/s; 0 if unknown.
+        seeds: Addresses of peers to contact first if the store is unreachable.
+        grace_s: The time from the stop signal to the kill, in seconds.
+        cores: The processor time that it gets, in cores; 0 if unknown.
+        link_mbps: The bandwidth of its network link, in Mbit/s; 0 if unknown.
     """
 
     name: str
@@ -34,13 +34,13 @@
 
 @attrs.frozen(slots=True)
 class Platform:
-    """The adapters through which a node reaches the outside.
+    """The adapters between a node and the platform that it runs on.
 
     Attributes:
         store: The key-value store.
-        layout: Where the store keeps what, and how it is decoded.
+        layout: The keys of the store and the decoding of their values.
         connector: Opens links to members.
-        promotions: The call that makes a member the primary.
+        promotions: The API that promotes a member to primary.
     """
 
     store: _store.Store
--- a/packages/proxy/src/ferry_proxy/_limit_use.py
+++ b/packages/proxy/src/ferry_proxy/_limit_use.py
@@ -1,24 +1,31 @@
-"""What a node gave of teams' limits, for the log: the largest teams alone."""
+"""Logs how the rate limits of the busiest teams are used at this node."""
 
 import attrs
 
 from ferry_proxy import _events
 
-SPAN_S = 0.5
-MOST_TEAMS = 4  # Lines a node writes for one span.
-LEAST = 4  # Operations in a span; teams with fewer are left out.
+# The time between two reports.
+REPORT_INTERVAL_S = 0.5
+
+# The most log lines in one report.
+MAX_REPORTED_TEAMS = 4
+
+# Teams with fewer operations in an interval are not reported.
+MIN_REPORTED_OPERATIONS = 4
 
 
 @attrs.define(slots=True)
 class Use:
-    """What was given of one team's limit in one span.
+    """The use of one team's limit in one interval.
 
     Attributes:
-        begun: Operations that began here by this node's own bucket.
-        advanced: Those that began by what another node had given.
-        given: Operations that other nodes were given.
-        refused: Operations that were refused for the limit.
-        began_with: What a bucket held that was begun; None without one.
+        begun: Operations that started on tokens of this node's own bucket.
+        advanced: Operations that started on tokens that another node had
+            granted in advance.
+        given: Tokens granted to other nodes.
+        refused: Operations refused because the limit was reached.
+        began_with: The initial tokens of a bucket that was created; None if
+            none was.
     """
 
     begun: int = 0
@@ -29,33 +36,36 @@
 
     @property
     def asked(self) -> int:
-        """All operations that were asked for."""
+        """The number of operations that were requested."""
         return self.begun + self.advanced + self.given + self.refused
 
 
 class LimitUse:
-    """The uses of all teams in the present span."""
+    """The use of all teams' limits in the current interval."""
 
     def __init__(self) -> None:
         self._uses: dict[str, Use] = {}
         self._since = float("-inf")
 
     def of(self, team: str) -> Use:
-        """Returns what was given of a team's limit in this span."""
+        """Returns the counters of a team in the current interval."""
         return self._uses.setdefault(team, Use())
 
     def report(self, now: float, share: float) -> None:
-        """Logs the span once it is over.
+        """Logs the interval once it has ended, and starts the next.
 
         Args:
-            now: In the clock's seconds.
-            share: The part of all limits that is given out here.
+            now: The current time, in the clock's seconds.
+            share: The share of all limits that this node may grant.
         """
-        if now - self._since < SPAN_S:
+        if now - self._since < REPORT_INTERVAL_S:
             return
         ranked = sorted(self._uses.items(), key=lambda u: -u[1].asked)
-        for team, use in ranked[:MOST_TEAMS]:
-            if use.asked >= LEAST or use.began_with is not None:
+        for team, use in ranked[:MAX_REPORTED_TEAMS]:
+            if (
+                use.asked >= MIN_REPORTED_OPERATIONS
+                or use.began_with is not None
+            ):
                 _events.emit(_events.LimitUsed(team, round(share, 4), use))
         self._uses.clear()
         self._since = now
--- a/packages/proxy/src/ferry_proxy/_limits.py
+++ b/packages/proxy/src/ferry_proxy/_limits.py
@@ -1,14 +1,15 @@
-"""How much each team may still ask for: one token bucket a team.
-
-Answers a team that sends many times its usual, on one node or on all, while
-nodes come and go and data centres are cut off. Each bucket is kept by one node,
-the team's keeper, so that what all nodes let through is counted in one place.
-What a team is refused below its limit is lost to it, so shares of a limit by
-node are no way: of 81 nodes each would get a hundredth of it.
-
-Whatever the keeper knew is lost with it. Its successor begins with a few
-operations and the limit's rate rather than a full burst, so that the two
-together stay within the limit over every span of time.
+"""Token buckets for the rate limits of teams.
+
+The limits hold while a team sends many times its usual load, at one node or at
+all, and while nodes come and go and data centres are partitioned. Each team's
+bucket is kept by one node, its owner, so that the operations that all nodes
+admit are counted in one place. Splitting a limit among the nodes is no option:
+a team would be refused below its limit, as each of 81 nodes would get about a
+hundredth of it.
+
+The state of a bucket is lost with its owner. The next owner starts with a few
+tokens and the limit's rate instead of a full burst, so that both owners
+together stay within the limit over any span of time.
 """
 
 from collections.abc import Collection
@@ -20,37 +21,38 @@
 from ferry_proxy import _records
 from ferry_proxy import _teams
 
-BORNE_SHARE = 0.4  # Of what is borne over a limit, for each change of keeper:
-# two within one window are within it.
+# The share of the tolerated excess over a limit that each change of owner may
+# use up, so that two changes in one window stay within it.
+OWNER_CHANGE_SHARE = 0.4
 
 
 @attrs.define(slots=True, eq=False)
 class Bucket:
-    """What is left of one team's limit.
+    """The token bucket of one team.
 
     Attributes:
-        tokens: Operations that may begin now.
-        at: When that was so, in the clock's seconds; later than now where
-            nothing comes in yet.
+        tokens: The number of operations that may start.
+        at: The time of the last refill, in the clock's seconds. A time in the
+            future means that the bucket is not refilled until then.
     """
 
     tokens: float
     at: float
 
     def refill(self, limit: _teams.Limit, share: float, now: float) -> None:
-        """Adds what has come in since.
+        """Adds the tokens that have accrued since the last refill.
 
         Args:
-            limit: The team's limit, as it is now.
-            share: The part of it that this node may give out.
-            now: The time.
+            limit: The current limit of the team.
+            share: The share of the limit that this node may grant.
+            now: The current time, in the clock's seconds.
         """
         gained = max(0.0, now - self.at) * limit.rate_per_s * share
         self.tokens = min(limit.burst * share, self.tokens + gained)
         self.at = max(now, self.at)
 
     def take(self, count: int) -> int:
-        """Takes up to so many whole tokens; returns how many."""
+        """Removes at most `count` whole tokens; returns how many it removed."""
         taken = min(count, math.floor(self.tokens))
         self.tokens -= taken
         return taken
@@ -59,30 +61,31 @@
 def initial_tokens(
     limit: _teams.Limit, window_s: float, overage: float, slack: float
 ) -> float:
-    """Returns what a keeper begins with that knows of nothing before.
+    """Returns the tokens that a new owner without earlier state starts with.
 
-    What the keeper before it let through is within the limit, so that all it
-    adds has to be within what is borne over the limit. With nothing but the
-    rate, callers who come back together after a loss of all nodes were refused
-    below their teams' limits: 154 statements in half a second.
+    The previous owner may have admitted all that the limit allows, so these
+    tokens must be covered by the tolerated excess over the limit. Starting with
+    none was too strict: when callers reconnected together after a loss of all
+    nodes, 154 statements were refused below their teams' limits in half a
+    second.
 
     Args:
         limit: The team's limit.
-        window_s: The span over which limits are judged, in seconds.
-        overage: The share of a limit over it that is borne.
-        slack: Operations that are borne besides.
+        window_s: The window over which limits are measured, in seconds.
+        overage: The tolerated excess, as a share of the limit.
+        slack: The number of further operations that are tolerated.
     """
-    borne = overage * (limit.rate_per_s * window_s + limit.burst) + slack
-    return min(limit.burst, BORNE_SHARE * borne)
+    tolerated = overage * (limit.rate_per_s * window_s + limit.burst) + slack
+    return min(limit.burst, OWNER_CHANGE_SHARE * tolerated)
 
 
 def wait_s(limit: _teams.Limit, share: float, tokens: float) -> float:
-    """Returns when the next operation may begin, in seconds from now.
+    """Returns the time until the next operation may start, in seconds.
 
     Args:
         limit: The team's limit.
-        share: The part of it that is given out here.
-        tokens: What is left, less than one.
+        share: The share of the limit that this node may grant.
+        tokens: The tokens that are left, less than one.
     """
     rate_per_s = limit.rate_per_s * share
     if rate_per_s <= 0:
@@ -95,16 +98,16 @@
     heard: Collection[str],
     nodes: Mapping[str, _records.NodeEntry],
 ) -> float:
-    """Returns the part of all limits that this side of a partition gives out.
+    """Returns the share of all limits that this side of a partition grants.
 
-    It is the share of nodes on this side. Nodes that are not heard may be gone
-    or on another side, so that the parts of all sides add up to one at most
-    only if nobody stands in for them.
+    It is the share of all nodes that are on this side. A node that is not heard
+    may be down, or on another side. The shares of all sides add up to at most
+    one only if no side counts the nodes that it does not hear.
 
     Args:
         own: This node.
-        heard: The names of the nodes that were heard lately.
-        nodes: All nodes, by name.
+        heard: The names of the nodes that were heard recently.
+        nodes: All nodes by name.
     """
     names = {*nodes, own.name}
     return len(names & {*heard, own.name}) / len(names)
--- a/packages/proxy/src/ferry_proxy/_metrics.py
+++ b/packages/proxy/src/ferry_proxy/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms, shown as Prometheus text."""
+"""Counters and latency histograms, in the Prometheus text format."""
 
 import collections
 from collections.abc import Callable
@@ -8,18 +8,23 @@
 
 from ferry_proxy import _statements
 
-LOWEST_US = 1
-HIGHEST_US = 60_000_000  # A minute, in microseconds.
-DIGITS = 2
-MAX_TEAMS = 100  # Lines a node's metrics have for teams, by outcome.
-OTHER_TEAMS = "(others)"  # No team has a name with brackets.
+# The range of the latency histograms, up to a minute, and their precision.
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 60_000_000
+SIGNIFICANT_DIGITS = 2
+
+# The most teams with counters of their own. Further teams share a label, which
+# cannot be a team's name because of its brackets.
+MAX_TEAMS = 100
+OTHER_TEAMS = "(others)"
+
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 
 Labels = tuple[tuple[str, str], ...]
 
 
 class Metrics:
-    """What a node counts."""
+    """The metrics of a node."""
 
     def __init__(self) -> None:
         self._counters: collections.Counter[tuple[str, Labels]] = (
@@ -30,13 +35,13 @@
         self._gauges: list[tuple[str, Callable[[], float], Labels]] = []
 
     def count(self, name: str, **labels: str) -> None:
-        """Adds one to a counter."""
+        """Increments a counter."""
         self._counters[(name, tuple(sorted(labels.items())))] += 1
 
     def gauge(
         self, name: str, read: Callable[[], float], **labels: str
     ) -> None:
-        """Adds a value that is read when the metrics are asked for."""
+        """Adds a gauge that is read whenever the metrics are rendered."""
         self._gauges.append((name, read, tuple(sorted(labels.items()))))
 
     def record_request(
@@ -47,7 +52,7 @@
         elapsed_s: float,
         at_replica: bool,
     ) -> None:
-        """Takes in the outcome of a request."""
+        """Records the outcome and the latency of a request."""
         self.count(
             "requests_total", route=route, kind=kind.value, outcome=outcome
         )
@@ -56,15 +61,17 @@
             self.count("reads_total", place=place)
         found = self._latencies.get(route)
         if found is None:
-            found = histogram.HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+            found = histogram.HdrHistogram(
+                MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
+            )
             self._latencies[route] = found
-        found.record_value(max(LOWEST_US, int(elapsed_s * 1e6)))
+        found.record_value(max(MIN_LATENCY_US, int(elapsed_s * 1e6)))
 
     def record_team_statement(self, team: str, outcome: str) -> None:
-        """Takes in the outcome of a team's statement.
+        """Records the outcome of a team's statement.
 
-        The first teams have counters of their own, the others one together:
-        a fleet may have many thousands of teams.
+        The first teams have counters of their own and all others share one,
+        since a fleet may have many thousands of teams.
         """
         if team not in self._teams and len(self._teams) >= MAX_TEAMS:
             team = OTHER_TEAMS
@@ -72,7 +79,7 @@
         self.count("team_statements_total", team=team, outcome=outcome)
 
     def render(self) -> bytes:
-        """Returns all of it in Prometheus' text format."""
+        """Returns all metrics in the Prometheus text format."""
         lines = []
         for (name, labels), value in sorted(self._counters.items()):
             lines.append(_line(name, labels, value))
@@ -91,5 +98,5 @@
 
 
 def _line(name: str, labels: Labels, value: float) -> str:
-    shown = ",".join(f'{key}="{text}"' for key, text in labels)
-    return f"rosemaryferry_{name}{{{shown}}} {value:g}"
+    label_text = ",".join(f'{key}="{text}"' for key, text in labels)
+    return f"rosemaryferry_{name}{{{label_text}}} {value:g}"
--- a/packages/proxy/src/ferry_proxy/_rate_limiter.py
+++ b/packages/proxy/src/ferry_proxy/_rate_limiter.py
@@ -1,8 +1,8 @@
-"""Lets operations of teams begin within their limits, over all nodes.
+"""Distributed rate limiter for the operations of teams.
 
-Where statements of a team run at the node that keeps its bucket, this costs
-nothing. Another node asks the keeper for an operation at a time; while there
-is plenty, it gets a few more that it may use within a moment.
+Admission is local where a team's statements run at the node that owns its token
+bucket. Other nodes request tokens from the owner, one for each operation; while
+the bucket is well filled, the owner grants a few more in advance.
 """
 
 from collections.abc import Callable
@@ -23,25 +23,28 @@
 from ferry_proxy import _team_placement
 from ferry_proxy import _teams
 
-ASK_S = 0.1  # Many network trips; a keeper that says nothing is passed over.
-UNUSED_S = 5.0  # A bucket of which nothing was taken for so long is dropped.
-OVERLAP_S = 0.3  # Most nodes that the store turns away have heard of a change
-# from peers by then; until then the home before may give out the rate, too.
-SPARE_S = 1.0  # For so long tokens that were given in advance may be used.
-PLENTY = 0.5  # Of a burst: above it, a keeper gives tokens in advance.
-ADVANCE = 4  # Tokens at once. 4 in the hands of each of 81 nodes are more than
-# a small team's burst, so that below half of it none are given.
+REQUEST_TIMEOUT_S = 0.1  # The timeout for a reply: many network round trips.
+BUCKET_IDLE_S = 5.0  # Buckets that were not used for this time are dropped.
+# When a bucket moves, its refill starts this much later. By then, most nodes
+# that the store turns away have heard of the change from peers; until then, the
+# previous home may still grant tokens at the full rate.
+REFILL_DELAY_S = 0.3
+ADVANCE_TTL_S = 1.0  # Tokens granted in advance expire after this time.
+ADVANCE_MIN_FILL = 0.5  # Below this share of the burst, there is no advance.
+# The most tokens granted at once. 81 nodes with 4 each would hold more than a
+# small team's burst, so none are granted in advance below half of it.
+MAX_ADVANCE = 4
 
 
 @_peer_messages.message("allow?")
 @attrs.frozen(slots=True, repr=False)
 class AllowanceRequest:
-    """Asks a team's keeper whether an operation may begin.
+    """Requests a token from the owner of a team's bucket.
 
     Attributes:
         team: The team.
-        is_passed_on: Whether a node sends it that was asked itself; it is
-            answered by whoever gets it then.
+        is_passed_on: Whether the sender relays another node's request. The
+            receiver then answers it itself.
     """
 
     team: str
@@ -51,11 +54,11 @@
 @_peer_messages.message("allow")
 @attrs.frozen(slots=True, repr=False)
 class AllowanceReply:
-    """What a team's keeper gives.
+    """The reply to an `AllowanceRequest`.
 
     Attributes:
-        tokens: Operations that may begin; 0 where the limit is reached.
-        retry_after_s: When the next may, where none may now; in seconds.
+        tokens: How many operations may start; 0 if the limit is reached.
+        retry_after_s: If none may, the seconds until the next may start.
     """
 
     tokens: int
@@ -64,19 +67,19 @@
 
 @attrs.define(slots=True, eq=False)
 class _Advance:
-    """Tokens that another node gave in advance."""
+    """Tokens that another node granted in advance, and their expiry time."""
 
     tokens: int
     until: float
 
 
 @attrs.frozen(slots=True)
-class _Arrival:
-    """A team that came to be at home at this node.
+class _InitialFill:
+    """The initial state of a bucket whose team has moved to this node.
 
     Attributes:
-        tokens: What its bucket began with.
-        at: From when on more comes in, in the clock's seconds.
+        tokens: The initial tokens.
+        at: When the refill starts, in the clock's seconds.
     """
 
     tokens: float
@@ -85,16 +88,15 @@
 
 @attrs.frozen(slots=True)
 class RateLimiterContext:
-    """What allowances are decided by.
+    """The dependencies of a rate limiter.
 
     Attributes:
         clock: The clock.
         policy: The tunables.
         own: This node.
         limit_of: Returns a team's limit.
-        keepers: Returns the names of all nodes that keep buckets, and since
-            when, in the clock's seconds, these are the ones.
-        homes: Returns where teams are at home: there their buckets are kept.
+        bucket_owners: Returns the nodes that own buckets.
+        team_placement: Returns the teams' home nodes, which own their buckets.
         nodes: Returns all nodes by name.
         streams: Returns the open streams by the names of the peers.
     """
@@ -111,11 +113,11 @@
 
 @attrs.frozen(slots=True)
 class BucketOwners:
-    """The nodes that keep teams' buckets.
+    """The nodes that own teams' buckets.
 
     Attributes:
         names: Their names.
-        since: When they became so, in the clock's seconds.
+        since: Since when this set holds, in the clock's seconds.
     """
 
     names: Collection[str] = ()
@@ -123,30 +125,30 @@
 
 
 class RateLimiter:
-    """What one node knows of the limits of teams."""
+    """The part of the rate limiter that runs at one node."""
 
     def __init__(self, ctx: RateLimiterContext) -> None:
         self._ctx = ctx
-        self._begun = ctx.clock.now()
+        self._started_at = ctx.clock.now()
         self._buckets: dict[str, _limits.Bucket] = {}
         self._advances: dict[str, _Advance] = {}
         self._used: dict[str, float] = {}
         self._team_placement = ctx.team_placement()
-        self._arrivals: dict[str, _Arrival] = {}
-        self._dealt_at = -math.inf
+        self._initial_fills: dict[str, _InitialFill] = {}
+        self._placed_at = -math.inf
         self._use = _limit_use.LimitUse()
         self._share = 1.0
 
     @property
     def share(self) -> float:
-        """The part of all limits that this side of a partition gives out."""
+        """The share of all limits that this side of a partition grants."""
         return self._share
 
     def admit(self, team: str) -> "decisions.Flow[None]":
-        """Lets an operation of a team begin.
+        """Admits an operation of a team.
 
         Raises:
-            decisions.RequestFailedError: Its limit is reached.
+            decisions.RequestFailedError: The team's limit is reached.
         """
         if math.isinf(self._ctx.limit_of(team).rate_per_s):
             return
@@ -157,93 +159,93 @@
                 self._use.of(team).advanced += 1
                 return
             del self._advances[team]
-        keeper = self._heard_keeper(team)
-        if keeper is None:
-            reply = self._give(team, 1)
+        owner = self._reachable_owner(team)
+        if owner is None:
+            reply = self._grant(team, 1)
             self._use.of(team).begun += reply.tokens
         else:
-            reply = yield from self._ask_or_stand_in(keeper, team, False)
+            reply = yield from self._request_or_grant(owner, team, False)
         if not reply.tokens:
             self._use.of(team).refused += 1
             raise _refused(team, reply.retry_after_s)
         if reply.tokens > 1:
-            until = self._ctx.clock.now() + SPARE_S
+            until = self._ctx.clock.now() + ADVANCE_TTL_S
             self._advances[team] = _Advance(reply.tokens - 1, until)
 
     def give_back(self, team: str) -> None:
-        """Takes back what an operation was let begin with, but did not run.
+        """Returns the token of an operation that was admitted but did not run.
 
-        What another node gave is kept for the team's next operation here.
+        A token from another node is kept for the team's next operation here.
         """
         if math.isinf(self._ctx.limit_of(team).rate_per_s):
             return
-        if self._heard_keeper(team) is not None:
-            until = self._ctx.clock.now() + SPARE_S
+        if self._reachable_owner(team) is not None:
+            until = self._ctx.clock.now() + ADVANCE_TTL_S
             advance = self._advances.setdefault(team, _Advance(0, until))
             advance.tokens += 1
             return
         bucket = self._buckets.get(team)
         if bucket is not None:
-            bucket.tokens += 1  # The next refill cuts it to the burst.
+            bucket.tokens += 1  # The next refill caps it at the burst.
 
     def answer(
         self, body: AllowanceRequest
     ) -> "AllowanceReply | decisions.Future[AllowanceReply]":
-        """Answers another node's request; asks the team's keeper itself.
+        """Answers another node's request, or relays it to the bucket's owner.
 
-        The other node may know another configuration, or not hear the keeper:
-        were it answered here, two nodes would give out one limit.
+        The sender may have another configuration, or not hear the owner. If
+        it were answered here, two nodes would grant the same limit.
         """
-        self._note_homes()
-        keeper = None if body.is_passed_on else self._heard_keeper(body.team)
-        if keeper is None:
-            return self._answer_here(body.team)
-        return decisions.start(self._ask_or_stand_in(keeper, body.team, True))
-
-    def _ask_or_stand_in(
-        self, keeper: _peers.Peer, team: str, is_passed_on: bool
+        self._update_placement()
+        owner = None if body.is_passed_on else self._reachable_owner(body.team)
+        if owner is None:
+            return self._answer_locally(body.team)
+        return decisions.start(self._request_or_grant(owner, body.team, True))
+
+    def _request_or_grant(
+        self, owner: _peers.Peer, team: str, is_passed_on: bool
     ) -> "decisions.Flow[AllowanceReply]":
-        """Asks a team's keeper, and stands in for one that does not answer.
+        """Requests a token from an owner; without a reply, grants one itself.
 
-        A node that has just been cut off can't tell that from the loss of the
-        keeper. Each may be one of many, so it gives out one keeper's part.
+        A node that has just been cut off cannot tell that from the loss of the
+        owner. There may be many such nodes, so each grants one owner's share.
         """
-        reply = yield from self._ask(keeper, team, is_passed_on)
+        reply = yield from self._request(owner, team, is_passed_on)
         if reply is not None:
             return reply
-        reply = self._give(
+        reply = self._grant(
             team, 1, max(1, len(self._ctx.bucket_owners().names))
         )
         self._use.of(team).begun += reply.tokens
         return reply
 
-    def _answer_here(self, team: str) -> AllowanceReply:
-        """Gives from this node's bucket; more while there is plenty."""
+    def _answer_locally(self, team: str) -> AllowanceReply:
+        """Grants tokens from this node's bucket, several if it is full."""
         limit = self._ctx.limit_of(team)
         if math.isinf(limit.rate_per_s):
-            return AllowanceReply(ADVANCE, 0.0)
+            return AllowanceReply(MAX_ADVANCE, 0.0)
         bucket = self._refilled(team, limit, 1)
-        spare = bucket.tokens - limit.burst * PLENTY
-        count = max(1, min(ADVANCE, math.floor(spare)))
-        reply = self._give(team, count)
+        spare = bucket.tokens - limit.burst * ADVANCE_MIN_FILL
+        count = max(1, min(MAX_ADVANCE, math.floor(spare)))
+        reply = self._grant(team, count)
         self._use.of(team).given += reply.tokens
         return reply
 
     def check(self) -> None:
-        """Looks which nodes are in reach, and drops what is not used."""
+        """Updates the share and the placement, and drops unused buckets."""
         now = self._ctx.clock.now()
-        self._look_around(now)
-        self._note_homes()
-        self._rest_buckets(now)
+        self._update_share(now)
+        self._update_placement()
+        self._pause_foreign_buckets(now)
         self._use.report(now, self._share)
         for team, used in list(self._used.items()):
-            if now - used > UNUSED_S:
+            if now - used > BUCKET_IDLE_S:
                 del self._used[team]
                 self._buckets.pop(team, None)
                 self._advances.pop(team, None)
 
-    def _look_around(self, now: float) -> None:
-        """Looks which nodes are in reach."""
+    def _update_share(self, now: float) -> None:
+        """Updates the share of the limits from the nodes in reach."""
         ctx = self._ctx
         limit_s = ctx.policy.isolated_s
         heard = {n for n, s in ctx.streams().items() if s.silence_s < limit_s}
@@ -252,53 +254,52 @@
             self._change_share(share, now)
 
     def _change_share(self, share: float, now: float) -> None:
-        """Fills the buckets by the part that was given out until now.
+        """Refills the buckets at the previous share before it changes.
 
-        Else a node that was cut off would fill them, once it is back, as if
-        nobody had stood in for it.
+        Otherwise a node that was cut off would refill them on its return as if
+        no other node had acted for it.
         """
         for team, bucket in self._buckets.items():
             bucket.refill(self._ctx.limit_of(team), self._share, now)
         self._share = share
 
-    def _rest_buckets(self, now: float) -> None:
-        """Lets nothing come into buckets that are kept elsewhere now."""
+    def _pause_foreign_buckets(self, now: float) -> None:
+        """Stops the refill of buckets that another node owns now."""
         for team, bucket in self._buckets.items():
-            if self._heard_keeper(team) is not None:
+            if self._reachable_owner(team) is not None:
                 bucket.at = max(bucket.at, now)
 
-    def _note_homes(self) -> None:
-        """Begins buckets of teams that have come to be at home here.
+    def _update_placement(self) -> None:
+        """Creates buckets for teams that were moved to this node.
 
-        Each change of a limit deals the teams out anew. Whoever kept a bucket
-        before may have given out its burst already; a full one here would be
-        a second burst.
+        Each change of a limit assigns the teams anew. The previous owner may
+        have granted the burst; a full bucket here would grant a second one.
         """
-        team_placement = self._ctx.team_placement()
-        before, self._team_placement = self._team_placement, team_placement
-        if team_placement is before or not before.rates:
+        after = self._ctx.team_placement()
+        before, self._team_placement = self._team_placement, after
+        if after is before or not before.rates:
             return
         now = self._ctx.clock.now()
         names = self._ctx.bucket_owners().names
         own = self._ctx.own.name
-        for team in team_placement.rates:
-            is_here = bool(names) and team_placement.home(team, names) == own
+        for team in after.rates:
+            is_here = bool(names) and after.home(team, names) == own
             if is_here and before.home(team, names) != own:
                 self._begin_bucket(team, now)
-        self._dealt_at = now
+        self._placed_at = now
 
     def _begin_bucket(self, team: str, now: float) -> None:
-        """Begins a bucket with little; with nothing soon after the last one."""
-        arrival = _Arrival(0.0, now)
-        if now - self._dealt_at >= self._ctx.policy.limit_window_s:
-            little = self._little(self._ctx.limit_of(team))
-            arrival = _Arrival(little, now + OVERLAP_S)
-        self._arrivals[team] = arrival
-        self._buckets[team] = _limits.Bucket(arrival.tokens, arrival.at)
-        self._use.of(team).began_with = round(arrival.tokens, 2)
+        """Creates a bucket with few tokens; none soon after another move."""
+        fill = _InitialFill(0.0, now)
+        if now - self._placed_at >= self._ctx.policy.limit_window_s:
+            tokens = self._initial_tokens(self._ctx.limit_of(team))
+            fill = _InitialFill(tokens, now + REFILL_DELAY_S)
+        self._initial_fills[team] = fill
+        self._buckets[team] = _limits.Bucket(fill.tokens, fill.at)
+        self._use.of(team).began_with = round(fill.tokens, 2)
         self._used[team] = now
 
-    def _little(self, limit: _teams.Limit) -> float:
+    def _initial_tokens(self, limit: _teams.Limit) -> float:
         policy = self._ctx.policy
         return _limits.initial_tokens(
             limit,
@@ -307,89 +308,89 @@
             policy.limit_slack,
         )
 
-    def _heard_keeper(self, team: str) -> _peers.Peer | None:
-        """Returns the stream to a team's keeper; None where it is this node.
+    def _reachable_owner(self, team: str) -> _peers.Peer | None:
+        """Returns the stream to a bucket's owner; None if it is this node.
 
-        A keeper that is out of reach is left out: the next one stands in.
+        An owner that is not heard is skipped, and the next node acts for it.
         """
         ctx = self._ctx
         streams = ctx.streams()
         limit_s = ctx.policy.isolated_s
         names = ctx.bucket_owners().names
-        present = [
+        heard = [
             n
             for n in names
             if n == ctx.own.name
             or (n in streams and streams[n].silence_s < limit_s)
         ]
-        return streams.get(
-            ctx.team_placement().acting_node(team, names, present)
-        )
+        return streams.get(ctx.team_placement().acting_node(team, names, heard))
 
-    def _ask(
-        self, keeper: _peers.Peer, team: str, is_passed_on: bool = False
+    def _request(
+        self, owner: _peers.Peer, team: str, is_passed_on: bool = False
     ) -> "decisions.Flow[AllowanceReply | None]":
-        """Asks a team's keeper; returns None where it does not answer."""
-        fut = keeper.call(AllowanceRequest(team, is_passed_on))
+        """Requests tokens from an owner; returns None if there is no reply."""
+        fut = owner.call(AllowanceRequest(team, is_passed_on))
         try:
-            reply: object = yield decisions.within(self._ctx.clock, ASK_S, fut)
+            reply: object = yield decisions.within(
+                self._ctx.clock, REQUEST_TIMEOUT_S, fut
+            )
         except (decisions.TimeoutExpiredError, _peers.PeerLostError) as exc:
-            decisions.log_debug("%s keeps %s: %s", keeper.peer, team, exc)
+            decisions.log_debug("owner %s of %s: %s", owner.peer, team, exc)
             return None
         return reply if isinstance(reply, AllowanceReply) else None
 
-    def _give(self, team: str, count: int, sharing: int = 1) -> AllowanceReply:
-        """Gives from this node's bucket.
+    def _grant(self, team: str, count: int, parts: int = 1) -> AllowanceReply:
+        """Grants tokens from this node's bucket.
 
         Args:
             team: The team.
-            count: The most operations to let begin.
-            sharing: How many nodes may each give out a part of what this side
-                of a partition does.
+            count: The most tokens to grant.
+            parts: The number of nodes that divide this side's share of the
+                limit among them.
         """
         limit = self._ctx.limit_of(team)
-        bucket = self._refilled(team, limit, sharing)
+        bucket = self._refilled(team, limit, parts)
         tokens = bucket.take(count)
         if tokens:
             return AllowanceReply(tokens, 0.0)
-        left_s = _limits.wait_s(limit, self._share / sharing, bucket.tokens)
+        left_s = _limits.wait_s(limit, self._share / parts, bucket.tokens)
         return AllowanceReply(0, min(left_s, self._ctx.policy.limit_window_s))
 
     def _refilled(
-        self, team: str, limit: _teams.Limit, sharing: int
+        self, team: str, limit: _teams.Limit, parts: int
     ) -> _limits.Bucket:
-        self._note_homes()
+        self._update_placement()
         now = self._ctx.clock.now()
         self._used[team] = now
         bucket = self._buckets.get(team)
         if bucket is None:
-            self._look_around(now)
-            tokens, at = self._first(team, limit, now)
-            bucket = _limits.Bucket(tokens * self._share / sharing, at)
+            self._update_share(now)
+            tokens, at = self._initial_fill(team, limit, now)
+            bucket = _limits.Bucket(tokens * self._share / parts, at)
             self._buckets[team] = bucket
             self._use.of(team).began_with = round(bucket.tokens, 2)
-        bucket.refill(limit, self._share / sharing, now)
+        bucket.refill(limit, self._share / parts, now)
         return bucket
 
-    def _first(
+    def _initial_fill(
         self, team: str, limit: _teams.Limit, now: float
     ) -> tuple[float, float]:
-        """Returns a new bucket's tokens, and when it had them.
+        """Returns the tokens of a new bucket, and the time of its last refill.
 
-        The team's own keeper has been filling it for as long as it has been
-        that. Whoever stands in for it cannot know what it gave out.
+        The team's regular owner has refilled it since it became the owner. A
+        node that acts for the owner cannot know what the owner granted.
         """
-        tokens = self._little(limit)
-        bucket_owners = self._ctx.bucket_owners()
-        if not bucket_owners.names:
+        tokens = self._initial_tokens(limit)
+        owners = self._ctx.bucket_owners()
+        if not owners.names:
             return tokens, now
-        home = self._ctx.team_placement().home(team, bucket_owners.names)
+        home = self._ctx.team_placement().home(team, owners.names)
         if home != self._ctx.own.name:
             return tokens, now
-        since = max(self._begun, bucket_owners.since)
-        arrival = self._arrivals.get(team)
-        if arrival is not None and arrival.at > since:
-            return arrival.tokens, arrival.at
+        since = max(self._started_at, owners.since)
+        fill = self._initial_fills.get(team)
+        if fill is not None and fill.at > since:
+            return fill.tokens, fill.at
         return tokens, since
 
 
--- a/packages/proxy/src/ferry_proxy/_refusals.py
+++ b/packages/proxy/src/ferry_proxy/_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals that rest on the configuration: of databases and of keys."""
+"""Refusals of unknown databases and keys, based on the configuration."""
 
 from collections.abc import Callable
 
@@ -11,11 +11,12 @@
 
 @attrs.frozen(slots=True)
 class Refusals:
-    """Makes refusals, and logs what they rest on.
+    """Creates errors for refused callers and logs the evidence for them.
 
     Attributes:
         evidence: Returns how current the configuration is.
-        news_limit_s: How often there is news of a store that is in reach.
+        news_limit_s: The longest time without news of a store that is
+            reachable, in seconds.
     """
 
     evidence: Callable[[], _currency.Evidence]
@@ -24,13 +25,14 @@
     def of(
         self, reason: decisions.Reason, subject: str
     ) -> decisions.RequestFailedError:
-        """Returns the error for what the configuration does not allow.
+        """Returns the error for something that the configuration lacks.
 
-        Where it may be outdated the caller is told to come back instead.
+        If the configuration may be outdated, the error tells the caller to
+        retry later instead.
 
         Args:
-            reason: What it lacks.
-            subject: The database or the key that it lacks.
+            reason: The reason for a refusal by a current configuration.
+            subject: The database or the key that is missing.
         """
         evidence = self.evidence()
         why = _currency.doubt(evidence, self.news_limit_s)
--- a/packages/proxy/src/ferry_proxy/_requests.py
+++ b/packages/proxy/src/ferry_proxy/_requests.py
@@ -1,4 +1,4 @@
-"""A caller's statement on its way, and what became of it so far."""
+"""A caller's statement in execution, and its progress."""
 
 import attrs
 import ferry_decisions as decisions
@@ -11,14 +11,14 @@
 
 @attrs.define(slots=True, eq=False)
 class Progress:
-    """What became of a request so far, for logs and later decisions.
+    """The progress of a request, for logs and for decisions on retries.
 
     Attributes:
-        member: The member that it was last handed to.
+        member: The member that it was last sent to.
         at_replica: Whether that member was a replica.
-        attempts: How often it was handed to a member.
-        offered_at: When it was first handed to a member; 0 for never.
-        dispatched_at: When it was last handed to a member.
+        attempts: How many times it was sent to a member.
+        offered_at: When a member was first contacted for it; 0 for never.
+        dispatched_at: When it was last sent to a member.
         via: The serving node that it was forwarded to; empty for none.
     """
 
@@ -30,14 +30,14 @@
     via: str = ""
 
     def note_offered(self, now: float) -> None:
-        """Takes in that a member is asked on its behalf."""
+        """Records that a member is contacted for it; the first time counts."""
         if not self.offered_at:
             self.offered_at = now
 
     def note_dispatched(
         self, member: str, at_replica: bool, now: float
     ) -> None:
-        """Takes in that it goes to a member now."""
+        """Records that it is sent to a member now."""
         self.member = member
         self.at_replica = at_replica
         self.attempts += 1
@@ -47,18 +47,19 @@
 
 @attrs.frozen(slots=True, eq=False, kw_only=True)
 class Request:
-    """A statement to run, and what limits its run.
+    """A statement to run, with its limits and its session state.
 
     Attributes:
-        statement: What to run.
-        prepared: What EXECUTE runs; None for other statements.
-        route: The route that it is under.
-        values: The session's values.
+        statement: The statement to run.
+        prepared: The prepared statement that EXECUTE runs; None for others.
+        route: The route of the session's database.
+        values: The settings of the session.
         arrived: When it arrived, in the clock's seconds.
-        arrived_boot: When it arrived, in boot time.
-        session_floor: The session's own last commit.
-        caller: In whose name it runs.
-        progress: What became of it so far.
+        arrived_boot: When it arrived, in seconds of the boot clock.
+        session_floor: The position of the session's last commit, if reads have
+            to reflect it.
+        caller: The team and key that it runs for.
+        progress: Its progress so far.
     """
 
     statement: _statements.Statement
@@ -73,12 +74,12 @@
 
     @property
     def deadline(self) -> float:
-        """When its time limit is over."""
+        """When its timeout expires, in the clock's seconds."""
         return self.arrived + self.route.timeout_s
 
     @property
     def retry_until(self) -> float:
-        """Until when what a member did not run may be handed over again."""
+        """Until when it may be sent again after a member did not run it."""
         limit_s = min(self.route.target_s, self.route.timeout_s)
         return self.arrived + limit_s
 
@@ -91,12 +92,12 @@
 
     @property
     def freshness_cutoff(self) -> float:
-        """The boot time whose earlier commits a read has to show."""
+        """The boot time up to which a read must reflect all commits."""
         return self.arrived_boot - self.route.max_staleness_s
 
     @property
     def is_primary_only(self) -> bool:
-        """Whether reads have to show every commit, whoever made it."""
+        """Whether reads must reflect every commit, of any session."""
         consistency = self.route.consistency
         return consistency is _configuration.Consistency.PRIMARY
 
@@ -106,18 +107,19 @@
         is_changing: bool,
         settled_at: float = float("-inf"),
     ) -> float:
-        """Returns until when it may wait for a member to be offered to.
+        """Returns until when it may wait for a member that can run it.
 
-        While a primary is being changed there is a good reason to wait: the
-        change ends in about a second. At other times a caller is better off
-        asking another node.
+        During a change of primary it pays to wait, since the change takes
+        about a second. At other times the caller is better off with an early
+        refusal, so that it can ask another node.
 
         Args:
             policy: The tunables.
-            is_changing: Whether a primary is being changed.
+            is_changing: Whether the primary is being changed.
             settled_at: When the last change ended, in the clock's seconds.
-                What waited until then comes at once, and all nodes wait for
-                the same member: it may wait for a target's time from there.
+                Requests held during a change all run right after it, and all
+                nodes send theirs to the same member. These may wait for the
+                target latency from that time on.
         """
         longest = self.arrived + self.route.timeout_s * min(
             1.0, policy.failover_hold_share
--- a/packages/proxy/src/ferry_proxy/_routing.py
+++ b/packages/proxy/src/ferry_proxy/_routing.py
@@ -1,23 +1,38 @@
-"""Which member gets a read.
-
-Answers the load of ordinary days: many short reads, some members slow, and
-traffic between data centres that costs money; and that of days on which both
-replicas lag, when asking them costs time and the primary a queue, or on which
-replicas are out of reach and the others have more reads than they can run.
-Where links belong to teams, a team's reads stay at the replica that it has a
-link to, as long as that costs less than a new one. A pure function of what is
-known of the members.
+"""Selection of the member that runs a read.
+
+The cost model covers the normal load, which is many short reads with some slow
+members and with traffic between data centres that costs money. It also covers
+two kinds of overload: both replicas lag, so that asking them costs time while
+reads queue at the primary; or some replicas are unreachable and the others get
+more reads than they can run. Where links belong to teams, a team's reads stay
+at the replica that it has a link to, as long as that costs less than opening a
+new one. All functions are pure.
 """
 
 import attrs
 
-FAR_FACTOR = 1.5  # A far member costs a network trip of 2 ms and its bytes.
-PRIMARY_FACTOR = 20.0  # Replicas take every read that they may, unless slow.
-UNRESPONSIVE_FACTOR = 1000.0  # Only where nobody else is left.
-OVERFLOW_S = 0.03  # About one statement: beyond it, the primary helps out.
-QUEUED_FACTOR = 20.0  # Weighs a queue at the replicas against the primary.
-OPEN_S = 0.016  # A new link: 12 ms of a slot, and two trips of 2 ms.
-FLOOR_LATENCY_S = 0.005  # Below this, differences of latency are noise.
+# A member in another data centre costs a network round trip of 2 ms, and the
+# traffic.
+REMOTE_FACTOR = 1.5
+
+# Keeps reads away from the primary unless the replicas are slow.
+PRIMARY_FACTOR = 20.0
+
+# Selects an unresponsive member only if no other is left.
+UNRESPONSIVE_FACTOR = 1000.0
+
+# The wait at a replica beyond which the primary takes reads, too: about one
+# statement.
+MAX_REPLICA_WAIT_S = 0.03
+
+# Offsets `PRIMARY_FACTOR` for a member with a longer wait than that.
+QUEUED_FACTOR = 20.0
+
+# The cost of opening a link: 12 ms of a slot and two round trips of 2 ms.
+NEW_LINK_COST_S = 0.016
+
+# Differences between latencies below this are noise.
+MIN_LATENCY_S = 0.005
 
 
 @attrs.frozen(slots=True)
@@ -26,15 +41,16 @@
 
     Attributes:
         member: Its id.
-        is_primary: Whether it leads.
+        is_primary: Whether it is the primary.
         is_near: Whether it is in this node's data centre.
-        is_responsive: Whether it answered a short while ago.
-        is_behind: Whether it lacked what the read needs a moment ago.
-        in_flight: This node's statements there, waiting ones included.
-        slots: Statements that it runs at the same time.
-        latency_s: The mean time of a statement there, lately.
-        wait_s: How long a statement would wait here before it goes there.
-        has_link: Whether a link that it may run on is free.
+        is_responsive: Whether it has answered recently.
+        is_behind: Whether it recently lacked a position that the read needs.
+        in_flight: The number of this node's statements there, queued ones
+            included.
+        slots: The number of statements that it can run in parallel.
+        latency_s: The recent mean latency of its statements.
+        wait_s: The expected wait in this node's queue for it.
+        has_link: Whether a free link exists that the read may run on.
     """
 
     member: str
@@ -52,14 +68,14 @@
 def cost(candidate: Candidate) -> float:
     """Returns the expected cost of a read at a member, in weighted seconds."""
     load = 1.0 + candidate.in_flight
-    value = max(candidate.latency_s, FLOOR_LATENCY_S) * load
+    value = max(candidate.latency_s, MIN_LATENCY_S) * load
     if not candidate.has_link:
-        value += OPEN_S
+        value += NEW_LINK_COST_S
     if not candidate.is_near:
-        value *= FAR_FACTOR
+        value *= REMOTE_FACTOR
     if candidate.is_primary:
         value *= PRIMARY_FACTOR
-    if candidate.wait_s > OVERFLOW_S:
+    if candidate.wait_s > MAX_REPLICA_WAIT_S:
         value *= QUEUED_FACTOR
     if not candidate.is_responsive:
         value *= UNRESPONSIVE_FACTOR
@@ -67,7 +83,7 @@
 
 
 def best(candidates: list[Candidate]) -> Candidate | None:
-    """Returns the member to ask; None without candidates."""
+    """Returns the member that runs the read; None without candidates."""
     return min(
         candidates, key=lambda c: (c.is_behind, cost(c), c.member), default=None
     )
--- a/packages/proxy/src/ferry_proxy/_sessions.py
+++ b/packages/proxy/src/ferry_proxy/_sessions.py
@@ -1,7 +1,8 @@
-"""A caller's session: its values, prepared names, transaction and commits.
+"""Caller sessions: settings, prepared statements, transaction and commits.
 
-The same code serves every protocol: a front decodes requests to `Statement`
-and encodes `_links.Reply`. Requests of a session run one after another.
+Sessions are independent of the client protocol: the protocol front end decodes
+requests to `Statement` and encodes `_links.Reply`. The requests of a session
+run one at a time.
 """
 
 from collections.abc import Callable
@@ -23,22 +24,25 @@
 
 Kind = _statements.Kind
 STATES = _statements.TransactionState
-MAX_STATE = 512  # Values and prepared names a session may hold, each.
+
+# The most settings, and the most prepared statements, that a session may hold.
+MAX_SESSION_ENTRIES = 512
+
 _ids = itertools.count(1)
 
 
 @attrs.frozen(slots=True)
 class SessionContext:
-    """What all sessions of a node share.
+    """Dependencies that all sessions of a node share.
 
     Attributes:
-        clock: The clock.
-        metrics: Counts statements.
-        configuration: Returns the configuration in force.
-        runner: Returns who runs a service's statements for a team; None for
-            an unknown service.
-        access: Tells which team holds a caller's key.
-        refusals: Makes refusals of what the configuration does not allow.
+        clock: The clock that requests are timed by.
+        metrics: Records the outcomes of statements.
+        configuration: Returns the active configuration; None before the first.
+        runner: Returns the runner of a service's statements for a team; None
+            for an unknown service.
+        access: Identifies the team that owns a caller's key.
+        refusals: Creates the errors for what the configuration forbids.
     """
 
     clock: _clocks.Clock
@@ -50,17 +54,22 @@
 
 
 class Session:
-    """One session, from its start to its end."""
+    """One session of a caller.
+
+    Attributes:
+        id: A number that is unique in this process, for the log.
+        busy: Whether a statement is running.
+    """
 
     def __init__(
         self, ctx: SessionContext, database: str, key: str = ""
     ) -> None:
-        """Begins a session.
+        """Starts a session.
 
         Args:
-            ctx: What all sessions of the node share.
-            database: The database that the caller names.
-            key: What the caller says of itself.
+            ctx: Dependencies that all sessions of the node share.
+            database: The database name that the caller sent.
+            key: The key that the caller sent.
         """
         self._ctx = ctx
         self._database = database
@@ -76,7 +85,7 @@
 
     @property
     def state(self) -> _statements.TransactionState:
-        """Where the session stands."""
+        """The transaction state of the session."""
         if self._transaction is None:
             return STATES.IDLE
         if self._transaction.failure is not None:
@@ -84,11 +93,11 @@
         return STATES.OPEN
 
     def check(self) -> None:
-        """Checks that its caller may use its database.
+        """Checks that the caller may use the database.
 
         Raises:
-            decisions.RequestFailedError: No route leads to the database, or no
-                team holds the key.
+            decisions.RequestFailedError: The database has no route, or the key
+                belongs to no team.
         """
         route = self._find_route()
         if route is None:
@@ -98,35 +107,35 @@
     def run(
         self, statement: _statements.Statement
     ) -> "decisions.Future[_links.Reply]":
-        """Runs a statement; one at a time."""
+        """Runs a statement; the one before must have finished."""
         self.busy = True
         fut = decisions.start(self._run(statement))
-        fut.add_done_callback(lambda _: self._finished())
+        fut.add_done_callback(lambda _: self._on_finished())
         return fut
 
     def close(self) -> None:
-        """Ends the session; what is open is rolled back."""
+        """Ends the session and rolls an open transaction back."""
         self._closed = True
         transaction, self._transaction = self._transaction, None
         if transaction is not None and not self.busy:
             transaction.roll_back()
 
     def end_transaction(self, reason: decisions.Reason) -> None:
-        """Ends an open transaction between two requests of the caller."""
+        """Fails an open transaction if no statement of it is running."""
         if self._transaction is not None and not self.busy:
             self._transaction.fail(reason)
 
     def end_if_idle(self, now: float) -> None:
-        """Ends a transaction that has rested for longer than it may."""
+        """Fails a transaction that has been idle for too long."""
         cfg = self._ctx.configuration()
         transaction = self._transaction
         if cfg is None or transaction is None or self.busy:
             return
-        rested = now - transaction.last_used_at > cfg.transaction_idle_s
-        if rested and transaction.holds_link:
+        is_idle = now - transaction.last_used_at > cfg.transaction_idle_s
+        if is_idle and transaction.holds_link:
             transaction.fail(decisions.TRANSACTION_LOST)
 
-    def _finished(self) -> None:
+    def _on_finished(self) -> None:
         self.busy = False
 
     # -- statements ------------------------------------------------------
@@ -165,7 +174,7 @@
 
     def _begin(self, read_only: bool) -> _links.Reply:
         if self._transaction is not None:
-            return self._malformed("a transaction is open")
+            return self._protocol_violation("a transaction is open")
         route = self._find_route()
         if route is None:
             return self._refused(self._unknown_database())
@@ -181,14 +190,21 @@
         return _links.Reply(STATES.OPEN)
 
     def _change_state(self, statement: _statements.Statement) -> _links.Reply:
-        """Keeps values and prepared names; a member learns of them later."""
+        """Changes settings or prepared statements of the session.
+
+        A member receives them only with the next statement that runs there.
+        """
         name = statement.name
-        full = max(len(self._values), len(self._prepared)) >= MAX_STATE
+        is_full = (
+            max(len(self._values), len(self._prepared)) >= MAX_SESSION_ENTRIES
+        )
         if statement.kind is Kind.CLOSE:
             if self._prepared.pop(name, None) is None:
                 return self._unknown_prepared(name)
-        elif full:
-            return self._malformed("too many values or prepared statements")
+        elif is_full:
+            return self._protocol_violation(
+                "too many values or prepared statements"
+            )
         elif statement.kind is Kind.SET:
             self._values = {**self._values, name: statement.value}
         elif statement.prepared is not None:
@@ -204,7 +220,7 @@
             if prepared is None:
                 return self._unknown_prepared(statement.name)
         if statement.kind is Kind.COMMIT and self._transaction is None:
-            return self._malformed("no transaction is open")
+            return self._protocol_violation("no transaction is open")
         transaction = self._transaction
         route = self._route if transaction else self._find_route()
         if route is None:
@@ -212,7 +228,7 @@
         try:
             request = self._request(statement, prepared, route)
         except decisions.RequestFailedError as exc:
-            return self._turn_away(statement, exc)
+            return self._refuse_access(statement, exc)
         try:
             reply = yield from self._dispatch(request, transaction)
         except decisions.RequestFailedError as exc:
@@ -220,7 +236,7 @@
                 self._transaction = None
             answer = self._refused(exc)
         else:
-            answer = self._take(request, transaction, reply)
+            answer = self._apply_reply(request, transaction, reply)
         self._record(request, answer)
         return answer
 
@@ -256,7 +272,7 @@
             raise _no_members()
         return (yield from runner.run(request))
 
-    def _take(
+    def _apply_reply(
         self,
         request: _requests.Request,
         transaction: _runners.OpenTransaction | None,
@@ -288,14 +304,14 @@
             transaction.fail(exc.reason)
         return _links.Reply.failed(self.state, exc)
 
-    def _turn_away(
+    def _refuse_access(
         self,
         statement: _statements.Statement,
         exc: decisions.RequestFailedError,
     ) -> _links.Reply:
-        """Refuses a statement of a caller whose key is no team's any more.
+        """Refuses a statement of a caller whose key no longer has a team.
 
-        What its transaction did is rolled back, also where it asks to commit.
+        An open transaction is rolled back, even if the statement is COMMIT.
         """
         transaction = self._transaction
         if statement.kind is Kind.COMMIT and transaction is not None:
@@ -306,7 +322,7 @@
     def _failed(self, reason: decisions.Reason, detail: str) -> _links.Reply:
         return _links.Reply(self.state, reason=reason, detail=detail)
 
-    def _malformed(self, detail: str) -> _links.Reply:
+    def _protocol_violation(self, detail: str) -> _links.Reply:
         return self._failed(decisions.PROTOCOL_VIOLATION, detail)
 
     def _unknown_prepared(self, name: str) -> _links.Reply:
--- a/packages/proxy/src/ferry_proxy/_statements.py
+++ b/packages/proxy/src/ferry_proxy/_statements.py
@@ -1,4 +1,4 @@
-"""The statements that a session may send, whatever the protocol."""
+"""Statements of a session, independent of the client protocol."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Kind(enum.Enum):
-    """What a statement does."""
+    """The kinds of statements that a session may send."""
 
     BEGIN = "begin"
     BEGIN_READ = "begin_read"
@@ -22,11 +22,11 @@
 
 @attrs.frozen(slots=True)
 class Prepared:
-    """What a prepared statement runs.
+    """The definition of a prepared statement.
 
     Attributes:
-        writes: Whether it writes.
-        shape: Its text, without arguments.
+        writes: Whether executing it writes.
+        shape: The text of the statement, without arguments.
     """
 
     writes: bool
@@ -35,15 +35,15 @@
 
 @attrs.frozen(slots=True)
 class Statement:
-    """A statement of a caller.
+    """One statement that a caller sent.
 
     Attributes:
-        request_id: The caller's own id of it; passed on unchanged.
-        kind: What it does.
+        request_id: The id that the caller gave it; passed on unchanged.
+        kind: The kind of statement.
         text: The statement as the caller wrote it.
-        name: The setting or the prepared statement that it names.
-        value: The value of SET, or the arguments of EXECUTE.
-        prepared: What PREPARE prepares.
+        name: The setting or prepared statement that it refers to.
+        value: The value for SET, or the arguments for EXECUTE.
+        prepared: The definition that PREPARE adds.
     """
 
     request_id: str
@@ -55,7 +55,7 @@
 
 
 class TransactionState(enum.Enum):
-    """Where a session stands after a reply."""
+    """The transaction state of a session after a reply."""
 
     IDLE = "idle"
     OPEN = "open"
--- a/packages/proxy/src/ferry_proxy/_teams.py
+++ b/packages/proxy/src/ferry_proxy/_teams.py
@@ -1,8 +1,8 @@
-"""The teams that callers belong to, their keys and their limits.
+"""Teams of callers, their keys and their rate limits.
 
-Answers a pool that many teams share: each statement runs in the name of the
-team that holds its caller's key at that moment, and a key that is taken away
-runs nothing more. Pure functions of a configuration.
+Many teams may share a pool. Each statement runs for the team that owns the
+caller's key at that time; a key that was revoked runs nothing more. All
+functions are pure functions of a configuration.
 """
 
 from collections.abc import Iterable
@@ -13,23 +13,26 @@
 
 import attrs
 
-DIGEST_BYTES = 16  # No two keys share a digest, chosen or by accident.
-NO_TEAM = ""  # Where a deployment has no teams, or a route is open to all.
+# Long enough that keys do not collide, neither by chance nor by construction.
+DIGEST_BYTES = 16
+
+# The team name where a deployment has no teams, or a route is open to all.
+NO_TEAM = ""
 
 
 @functools.lru_cache(maxsize=4096)
 def digest_of(key: str) -> bytes:
-    """Returns what stands for a key in memory, in messages and in logs."""
+    """Returns the digest that replaces a key in memory, messages and logs."""
     return hashlib.blake2b(key.encode(), digest_size=DIGEST_BYTES).digest()
 
 
 @attrs.frozen(slots=True)
 class Limit:
-    """How much a team may ask for, over all nodes.
+    """The rate limit of a team, over all nodes.
 
     Attributes:
-        rate_per_s: Operations a second, in the long run.
-        burst: Operations at once after a rest.
+        rate_per_s: The sustained rate, in operations a second.
+        burst: The number of operations allowed at once after an idle time.
     """
 
     rate_per_s: float = math.inf
@@ -41,12 +44,13 @@
 
 @attrs.frozen(slots=True)
 class Caller:
-    """In whose name a statement runs.
+    """The identity that a statement runs under.
 
     Attributes:
         team: The team's name; empty where callers need no team.
-        digest: What stands for the caller's key.
-        version: The configuration by which the key is the team's.
+        digest: The digest of the caller's key.
+        version: The version of the configuration that assigns the key to the
+            team.
     """
 
     team: str = NO_TEAM
@@ -59,12 +63,12 @@
 
 @attrs.frozen(slots=True)
 class Team:
-    """A team as the operators describe it.
+    """A team, as configured by the operators.
 
     Attributes:
-        name: Its name, which members are told.
-        digests: What stands for its keys.
-        limit: How much it may ask for.
+        name: Its name, which is also sent to members.
+        digests: The digests of its keys.
+        limit: Its rate limit.
     """
 
     name: str
@@ -74,12 +78,12 @@
 
 @attrs.frozen(slots=True)
 class Teams:
-    """All teams of a configuration; a key is found in one look-up.
+    """All teams of a configuration, indexed by name and by key.
 
     Attributes:
         by_name: The teams by name.
-        by_digest: The name of the team that holds a key, by the key's digest.
-        mistakes: What was passed over, in words.
+        by_digest: The name of the team that owns a key, by the key's digest.
+        mistakes: Descriptions of entries that were ignored.
     """
 
     by_name: Mapping[str, Team] = attrs.field(factory=dict)
@@ -88,14 +92,15 @@
 
     @classmethod
     def of(cls, teams: Iterable[Team], mistakes: Iterable[str] = ()) -> "Teams":
-        """Indexes teams.
+        """Builds the index of some teams.
 
-        Of two teams of one name the first stands. A key that two teams list
-        is nobody's: whichever ran, it might run in the wrong team's name.
+        Of two teams with the same name, the first one counts. A key that two
+        teams list belongs to neither, since its statements might otherwise run
+        for the wrong team.
 
         Args:
-            teams: The teams, in the document's order.
-            mistakes: What was passed over before, in words.
+            teams: The teams, in the order of the document.
+            mistakes: Descriptions of entries that were ignored before.
         """
         by_name: dict[str, Team] = {}
         by_digest: dict[bytes, str] = {}
@@ -116,10 +121,10 @@
 
     @property
     def rates(self) -> dict[str, float]:
-        """Operations a second that each team may ask for."""
+        """The sustained rate of each team, in operations a second."""
         return {n: t.limit.rate_per_s for n, t in self.by_name.items()}
 
     def limit_of(self, team: str) -> Limit:
-        """Returns how much a team may ask for."""
+        """Returns the rate limit of a team."""
         found = self.by_name.get(team)
         return NO_LIMIT if found is None else found.limit
--- a/packages/proxy/src/ferry_proxy/_transactions.py
+++ b/packages/proxy/src/ferry_proxy/_transactions.py
@@ -1,4 +1,4 @@
-"""A transaction: one link from its first statement to its end."""
+"""Transactions that run over one link from first statement to last."""
 
 import ferry_decisions as decisions
 
@@ -14,12 +14,19 @@
 from ferry_proxy import _requests
 from ferry_proxy import _statements
 
-QUIET_CHECK_S = 0.05  # Within a quarter of the shortest target.
+# How often a running statement's member is checked for being unresponsive: a
+# quarter of the shortest latency target at most.
+CONTACT_CHECK_INTERVAL_S = 0.05
 STATES = _statements.TransactionState
 
 
 class Transaction:
-    """What a caller began; it takes a link with its first statement."""
+    """A transaction at a member; acquires a link with its first statement.
+
+    Attributes:
+        failure: Why it failed; None while it has not.
+        last_used_at: When its last statement ended, in the clock's seconds.
+    """
 
     def __init__(
         self,
@@ -37,37 +44,38 @@
         self._read_only = read_only
         self._gate = gate
         self._pool: _pools.Pool | None = None
-        self._taken: _pooled_links.PooledLink | None = None
+        self._pooled_link: _pooled_links.PooledLink | None = None
         self._wrote = False
         self.failure: decisions.Reason | None = None
         self.last_used_at = clock.now()
 
     @property
     def wrote(self) -> bool:
-        """Whether it may have written something."""
+        """Whether one of its statements may have written."""
         return self._wrote
 
     @property
     def holds_link(self) -> bool:
-        """Whether a member holds it."""
-        return self._taken is not None
+        """Whether it holds a link, so that a member has it open."""
+        return self._pooled_link is not None
 
     def run(self, request: _requests.Request) -> "decisions.Flow[_links.Reply]":
-        """Runs a statement of it, its COMMIT included.
+        """Runs a statement of the transaction, COMMIT included.
 
         Raises:
-            decisions.RequestFailedError: No reply; the transaction has failed
-                and nothing of it is kept, unless the reason is unknown.
+            decisions.RequestFailedError: There is no reply. The transaction
+                has failed and has no effect, unless the reason says that its
+                outcome is unknown.
         """
         job = _jobs.Job.of(request, self._group)
         try:
-            if self._taken is None:
+            if self._pooled_link is None:
                 yield from self._admit(job)
-            elif self._taken.team != job.caller.team:
+            elif self._pooled_link.team != job.caller.team:
                 raise decisions.RequestFailedError(
                     decisions.TRANSACTION_LOST, "its key is another team's now"
                 )
-            reply = yield from self._hand_over(job)
+            reply = yield from self._run_with_retries(job)
         except decisions.RequestFailedError as exc:
             self.fail(exc.reason)
             raise
@@ -81,53 +89,56 @@
         return reply
 
     def _admit(self, job: _jobs.Job) -> "decisions.Flow[None]":
-        """Begins, if the team's limit lets it."""
+        """Opens the transaction if the team's rate limit admits it."""
         yield from self._gate.admit(job.caller.team)
         try:
             yield from self._open(job)
         finally:
-            if self._taken is None:
+            if self._pooled_link is None:
                 self._gate.give_back(job.caller.team)
 
     def fail(self, reason: decisions.Reason) -> None:
-        """Ends it at the member; the caller has yet to end it."""
+        """Rolls back at the member; the caller still has to end it."""
         if self.failure is None:
             self.failure = reason
         self.roll_back()
 
     def roll_back(self) -> None:
-        """Rolls it back at the member and gives the link back."""
-        pool, taken = self._pool, self._taken
-        self._pool = self._taken = None
-        if pool is None or taken is None:
+        """Rolls back at the member and returns the link to the pool."""
+        pool, pooled_link = self._pool, self._pooled_link
+        self._pool = self._pooled_link = None
+        if pool is None or pooled_link is None:
             return
-        if taken.link.lost:
-            pool.discard(taken)
+        if pooled_link.link.lost:
+            pool.discard(pooled_link)
             return
-        decisions.start(self._roll_back(pool, taken))
+        decisions.start(self._roll_back(pool, pooled_link))
 
     def _roll_back(
-        self, pool: _pools.Pool, taken: _pooled_links.PooledLink
+        self, pool: _pools.Pool, pooled_link: _pooled_links.PooledLink
     ) -> "decisions.Flow[None]":
-        """A link is used again only once it is known to be idle."""
+        """Returns the link to the pool only once it is known to be idle."""
         try:
-            reply = yield from pool.exchange(taken, _links.Rollback())
+            reply = yield from pool.exchange(pooled_link, _links.Rollback())
         except decisions.RequestFailedError:
-            return  # The link is closed, and the member rolls back.
-        pool.give_back(taken, reply)
+            return  # The link is closed, which makes the member roll back.
+        pool.give_back(pooled_link, reply)
 
     def _end(self, reply: _links.Reply) -> None:
-        pool, taken = self._pool, self._taken
-        self._pool = self._taken = None
-        if pool is not None and taken is not None:
-            pool.give_back(taken, reply)
+        pool, pooled_link = self._pool, self._pooled_link
+        self._pool = self._pooled_link = None
+        if pool is not None and pooled_link is not None:
+            pool.give_back(pooled_link, reply)
 
     def _open(self, job: _jobs.Job) -> "decisions.Flow[None]":
-        """Begins at a member; until a statement ran, any other may do."""
+        """Opens at a member, or at another if that fails.
+
+        Until a statement has run, members are interchangeable.
+        """
         tried: set[str] = set()
         while True:
             reason = yield from self._try_open(job, tried)
-            if self._taken is not None:
+            if self._pooled_link is not None:
                 return
             if not self._may_retry(job, reason, tried):
                 raise decisions.RequestFailedError(reason, "at the begin")
@@ -146,7 +157,7 @@
         try:
             target = yield from self._target(job, tried)
             tried.add(target.pool.member.id)
-            taken = yield target.pool.acquire(
+            pooled_link = yield target.pool.acquire(
                 _pools.Use.TRANSACTION,
                 job.route.priority,
                 job.hold_end(self._policy),
@@ -155,7 +166,7 @@
             )
         except decisions.RequestFailedError as exc:
             return exc.reason
-        return (yield from self._begin(job, target, taken))
+        return (yield from self._begin(job, target, pooled_link))
 
     def _target(
         self, job: _jobs.Job, tried: set[str]
@@ -170,18 +181,18 @@
         self,
         job: _jobs.Job,
         target: _execution.Target,
-        taken: _pooled_links.PooledLink,
+        pooled_link: _pooled_links.PooledLink,
     ) -> "decisions.Flow[decisions.Reason]":
         begin = _links.Begin(self._read_only, target.floor)
         job.progress.note_offered(self._clock.now())
         try:
-            reply = yield from target.pool.exchange(taken, begin)
+            reply = yield from target.pool.exchange(pooled_link, begin)
         except decisions.RequestFailedError:
             return decisions.NO_CONNECTION
         if reply.reason is not None or reply.state is not STATES.OPEN:
-            target.pool.give_back(taken, reply)
+            target.pool.give_back(pooled_link, reply)
             return reply.reason or decisions.PROTOCOL_VIOLATION
-        self._pool, self._taken = target.pool, taken
+        self._pool, self._pooled_link = target.pool, pooled_link
         return decisions.NO_CONNECTION
 
     def _may_retry(
@@ -193,8 +204,10 @@
             return False
         return self._clock.now() < job.hold_end(self._policy)
 
-    def _hand_over(self, job: _jobs.Job) -> "decisions.Flow[_links.Reply]":
-        """Runs a statement, again while the member is too busy for it."""
+    def _run_with_retries(
+        self, job: _jobs.Job
+    ) -> "decisions.Flow[_links.Reply]":
+        """Runs a statement, and retries it while the member is too busy."""
         while True:
             reply = yield from self._run_once(job)
             busy = reply.reason is decisions.MEMBER_BUSY
@@ -206,51 +219,55 @@
             yield decisions.sleep(self._clock, _execution.RETRY_PAUSE_S)
 
     def _run_once(self, job: _jobs.Job) -> "decisions.Flow[_links.Reply]":
-        pool, taken = self._pool, self._taken
-        if pool is None or taken is None or taken.link.lost:
+        pool, pooled_link = self._pool, self._pooled_link
+        if pool is None or pooled_link is None or pooled_link.link.lost:
             raise decisions.RequestFailedError(decisions.TRANSACTION_LOST)
         is_commit = job.statement.kind is _statements.Kind.COMMIT
         if job.writes:
             self._wrote = True
-        unsure = is_commit and self._wrote
-        lost = decisions.ANSWER_LOST if unsure else decisions.TRANSACTION_LOST
-        taken.is_committing = is_commit
-        fut = self._executor.send(job, pool, taken, None)
+        may_be_committed = is_commit and self._wrote
+        lost = (
+            decisions.ANSWER_LOST
+            if may_be_committed
+            else decisions.TRANSACTION_LOST
+        )
+        pooled_link.is_committing = is_commit
+        fut = self._executor.send(job, pool, pooled_link, None)
         limit = job.deadline - self._clock.now()
-        begun = self._clock.now()
-        if not unsure:
-            self._close_if_quiet(pool, taken, fut)
+        started_at = self._clock.now()
+        if not may_be_committed:
+            self._close_if_unresponsive(pool, pooled_link, fut)
         try:
             reply: _links.Reply = yield decisions.within(
                 self._clock, limit, fut
             )
         except decisions.TimeoutExpiredError as exc:
-            pool.discard(taken)
+            pool.discard(pooled_link)
             raise decisions.RequestFailedError(lost, "no answer") from exc
         except _links.LinkLostError as exc:
             reason = lost if exc.handed else decisions.TRANSACTION_LOST
             raise decisions.RequestFailedError(reason, str(exc)) from exc
-        pool.note_heard(taken, self._clock.now() - begun)
+        pool.note_heard(pooled_link, self._clock.now() - started_at)
         return reply
 
-    def _close_if_quiet(
+    def _close_if_unresponsive(
         self,
         pool: _pools.Pool,
-        taken: _pooled_links.PooledLink,
+        pooled_link: _pooled_links.PooledLink,
         fut: "decisions.Future[_links.Reply]",
     ) -> None:
-        """Gives a statement up once its member answers nobody.
+        """Closes the link once its member answers nobody.
 
-        Closing the link rolls the transaction back, so that the caller learns
-        at once that nothing is kept, and may begin again elsewhere in time.
+        Closing it rolls the transaction back, so that the caller learns at
+        once that it had no effect and can retry elsewhere in time.
         """
 
         def check() -> None:
             if fut.done():
                 return
             if pool.contact.is_quiet:
-                pool.discard(taken)
+                pool.discard(pooled_link)
             else:
-                self._clock.after(QUIET_CHECK_S, check)
+                self._clock.after(CONTACT_CHECK_INTERVAL_S, check)
 
         self._clock.after(pool.contact.patience_s, check)
--- a/packages/proxy/src/ferry_proxy/tests/test_limits.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_limits.py
@@ -414,7 +414,7 @@
     fleet = Fleet()
     node = fleet.home("t1", ALL)
     fleet.ask(node, "t1")
-    fleet.clock.advance(_rate_limiter.UNUSED_S + 0.2)
+    fleet.clock.advance(_rate_limiter.BUCKET_IDLE_S + 0.2)
     assert not fleet.nodes[node]._buckets
 
 
