--- a/packages/proxy/src/ferry_proxy/tests/test_limits.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of teams over all nodes, in virtual time."""
+"""Tests of the teams' rate limits over all nodes, in virtual time."""
 
 import bisect
 import collections
@@ -18,7 +18,7 @@
 from ferry_proxy import _team_placement
 from ferry_proxy import _teams
 
-NET_S = 0.0015
+NETWORK_DELAY_S = 0.0015
 WINDOW_S = 5.0
 OVERAGE = 0.1
 SLACK = 20
@@ -30,7 +30,7 @@
 
 
 NODES = {n: entry(n) for n in ("a1", "a2", "b1", "b2", "b3", "c1", "c2", "c3")}
-MANY = {
+FIFTEEN_NODES = {
     f"{place}{n}": entry(f"{place}{n}") for place in "abc" for n in range(5)
 }
 
@@ -39,27 +39,27 @@
     ("own", "heard", "share"),
     [
         ("a1", set(NODES), 1.0),
-        ("a1", {"a2"}, 2 / 8),  # Its data centre is cut off,
-        ("b1", {"b2", "b3", "c1", "c2", "c3"}, 6 / 8),  # and its other side.
+        ("a1", {"a2"}, 2 / 8),  # The data centre of a1 is cut off,
+        ("b1", {"b2", "b3", "c1", "c2", "c3"}, 6 / 8),  # seen from outside.
         ("a1", {"a2", "b1", "b2", "b3", "c1"}, 6 / 8),
         ("a1", set(), 1 / 8),
         ("b1", {"b2"}, 2 / 8),
     ],
 )
-def test_the_part_of_a_side(own, heard, share):
+def test_share_of_one_side_of_a_partition(own, heard, share):
     found = _limits.share_in_reach(NODES[own], heard, NODES)
     assert found == pytest.approx(share)
 
 
 @pytest.mark.parametrize("sides", [2, 3, 5, 15])
 @pytest.mark.parametrize("seed", range(5))
-def test_the_parts_of_all_sides_add_up_wherever_they_are_cut(sides, seed):
+def test_the_shares_of_all_sides_add_up_for_any_partition(sides, seed):
     rng = random.Random(seed)
-    side_of = {name: rng.randrange(sides) for name in MANY}
+    side_of = {name: rng.randrange(sides) for name in FIFTEEN_NODES}
     parts = collections.defaultdict(list)
     for name, side in side_of.items():
         heard = {n for n, s in side_of.items() if s == side}
-        part = _limits.share_in_reach(MANY[name], heard, MANY)
+        part = _limits.share_in_reach(FIFTEEN_NODES[name], heard, FIFTEEN_NODES)
         parts[side].append(part)
     assert sum(max(p) for p in parts.values()) == pytest.approx(1.0)
 
@@ -71,7 +71,7 @@
         (_teams.Limit(10, 5), 0.15, 3),
         (_teams.Limit(10, 5), 60.0, 5),
         (_teams.Limit(0, 5), 60.0, 2),
-        (_teams.Limit(10, 1), 60.0, 1),  # Lowered below what is left.
+        (_teams.Limit(10, 1), 60.0, 1),  # Lowered below the tokens left.
     ],
 )
 def test_a_bucket_fills_up_to_its_burst(limit, rest_s, taken):
@@ -88,15 +88,16 @@
         (_teams.Limit(0.0, 0.0), 0.0),
     ],
 )
-def test_what_a_new_keeper_begins_with(limit, tokens):
+def test_the_initial_tokens_of_a_new_owner(limit, tokens):
     found = _limits.initial_tokens(limit, WINDOW_S, OVERAGE, SLACK)
     assert found == pytest.approx(tokens)
 
 
-def test_teams_are_dealt_out_evenly():
-    """84 teams, the largest 20 times the least: within 8% of an even part.
+def test_teams_are_assigned_evenly():
+    """Checks that each node's load is at most 8% above an even share.
 
-    By hash alone the fullest node has 1.29 of it, and the emptiest 0.48.
+    The largest of the 84 teams has 20 times the rate of the smallest. By hash
+    alone, the busiest node has 1.29 of an even share, and the idlest 0.48.
     """
     rates = {f"t{n}": 100.0 / (n % 20 + 1) for n in range(84)}
     team_placement = _team_placement.TeamPlacement(rates)
@@ -113,7 +114,7 @@
     assert min(hashed.values()) == pytest.approx(0.48 * even, rel=0.01)
 
 
-def test_a_node_that_is_away_moves_its_own_teams_alone():
+def test_an_absent_node_moves_only_its_own_teams():
     team_placement = _team_placement.TeamPlacement(
         {f"t{n}": 1.0 + n for n in range(60)}
     )
@@ -137,7 +138,7 @@
         ({"t": 1.0}, ["a"], ["b"], "b"),
     ],
 )
-def test_where_there_is_little_to_choose(rates, nodes, present, first):
+def test_the_acting_node_in_corner_cases(rates, nodes, present, first):
     assert (
         _team_placement.TeamPlacement(rates).acting_node("t", nodes, present)
         == first
@@ -145,7 +146,7 @@
 
 
 class Fleet:
-    """Nodes that keep buckets, and what is let through by them."""
+    """Nodes that own buckets, and the operations that they admit."""
 
     def __init__(self, known=NODES):
         self.known = known
@@ -154,14 +155,16 @@
         self.team_placement = _team_placement.TeamPlacement(
             {"t1": LIMIT.rate_per_s}
         )
-        self.late_homes = {}  # Of nodes that know an older configuration.
+        # The placement at nodes that have an older configuration.
+        self.late_placements = {}
         self.cut = set()
-        self.alone = {}  # Nodes that reach no other one, and since when.
-        # Nodes that reach only one another, and since when.
+        # Nodes that reach no other node, and since when.
+        self.alone = {}
+        # Nodes that reach only each other, and since when.
         self.split: tuple[set[str], float] = (set(), math.inf)
         self.down = set()
         self.nodes = {}
-        self.let_through = collections.defaultdict(list)
+        self.admitted = collections.defaultdict(list)
         self.refused: collections.Counter[str] = collections.Counter()
         self.asked = 0
         for name in known:
@@ -170,7 +173,7 @@
         self.clock.advance(10.0)
 
     def start(self, name):
-        """Begins a node, or begins it again with nothing kept."""
+        """Starts a node, or restarts it without its state."""
         self.down.discard(name)
         self.nodes[name] = _rate_limiter.RateLimiter(
             _rate_limiter.RateLimiterContext(
@@ -181,7 +184,7 @@
                 bucket_owners=lambda: _rate_limiter.BucketOwners(
                     tuple(self.known), 0.0
                 ),
-                team_placement=lambda: self.late_homes.get(
+                team_placement=lambda: self.late_placements.get(
                     name, self.team_placement
                 ),
                 nodes=lambda: self.known,
@@ -206,13 +209,13 @@
         return len(places) == 2 and bool(places & self.cut)
 
     def ask(self, name, team):
-        """Lets an operation of a team begin at a node, if it may."""
+        """Requests admission of one operation of a team at a node."""
         fut = decisions.start(self.nodes[name].admit(team))
         fut.add_done_callback(lambda f: self._note(team, f))
 
     def _note(self, team, fut):
         if fut.exception() is None:
-            self.let_through[team].append(self.clock.now())
+            self.admitted[team].append(self.clock.now())
         else:
             assert fut.exception().reason is decisions.OVER_LIMIT
             assert 0 <= fut.exception().retry_after_s <= WINDOW_S
@@ -222,7 +225,7 @@
         return self.team_placement.acting_node(team, self.known, names)
 
     def flood(self, team, per_s, for_s, entries):
-        """Sends a team's operations to what runs them, entry by entry."""
+        """Sends a team's operations to its acting node, from random entries."""
         rng = random.Random(7)
         end = self.clock.now() + for_s
         while self.clock.now() < end:
@@ -235,18 +238,18 @@
             ]
             self.ask(self.home(team, up), team)
 
-    def most(self, team):
-        """Returns the most that was let through in one window."""
-        times = self.let_through[team]
-        most = 0
+    def max_in_window(self, team):
+        """Returns the largest number of operations admitted in one window."""
+        times = self.admitted[team]
+        max_in_window = 0
         for first, at in enumerate(times):
             last = bisect.bisect_left(times, at + WINDOW_S)
-            most = max(most, last - first)
-        return most
+            max_in_window = max(max_in_window, last - first)
+        return max_in_window
 
 
 class FleetStream:
-    """A stream between two nodes; it is silent while they are cut apart."""
+    """A stream between two nodes; silent while they cannot reach each other."""
 
     def __init__(self, fleet, own, peer):
         self._fleet = fleet
@@ -281,7 +284,9 @@
     def _carry(self, reply, fut):
         data = _peer_messages.encode(1, reply)
         body = _peer_messages.Decoder().feed(data)[0].body
-        self._fleet.clock.after(2 * NET_S, lambda: fut.set_result(body))
+        self._fleet.clock.after(
+            2 * NETWORK_DELAY_S, lambda: fut.set_result(body)
+        )
 
 
 def _lose(fut, peer):
@@ -295,7 +300,7 @@
 ALL = list(NODES)
 
 
-def test_nothing_below_a_limit_is_refused():
+def test_no_operation_below_the_limit_is_refused():
     fleet = Fleet()
     fleet.flood("t1", LIMIT.rate_per_s / 1.6, 20.0, ALL)
     assert not fleet.refused["t1"]
@@ -305,60 +310,60 @@
 def test_a_flood_is_held_to_the_limit():
     fleet = Fleet()
     fleet.flood("t1", 500.0, 15.0, ALL)
-    assert fleet.most("t1") <= bound()
-    assert len(fleet.let_through["t1"]) >= LIMIT.rate_per_s * 14.5
+    assert fleet.max_in_window("t1") <= bound()
+    assert len(fleet.admitted["t1"]) >= LIMIT.rate_per_s * 14.5
 
 
-def test_a_lower_limit_binds_at_once():
+def test_a_lowered_limit_applies_at_once():
     fleet = Fleet()
     fleet.flood("t1", 500.0, 6.0, ALL)
     fleet.limit = low = _teams.Limit(8.0, 8.0)
-    fleet.let_through.clear()
+    fleet.admitted.clear()
     fleet.flood("t1", 500.0, 10.0, ALL)
-    assert fleet.most("t1") <= bound(low)
+    assert fleet.max_in_window("t1") <= bound(low)
 
 
 @pytest.mark.parametrize("place", ["hall-a", "hall-b", "hall-c"])
-def test_both_sides_of_a_cut_together_keep_the_limit(place):
+def test_both_sides_of_a_partition_keep_the_limit_together(place):
     fleet = Fleet()
     fleet.flood("t1", 500.0, 4.0, ALL)
     fleet.cut = {place}
     fleet.flood("t1", 500.0, 6.0, ALL)
     fleet.cut = set()
     fleet.flood("t1", 500.0, 6.0, ALL)
-    assert fleet.most("t1") <= bound()
+    assert fleet.max_in_window("t1") <= bound()
 
 
-def test_a_cut_costs_a_team_nothing_that_sends_its_usual():
+def test_a_partition_hardly_affects_a_team_below_its_limit():
     fleet = Fleet()
     fleet.flood("t1", 50.0, 4.0, ALL)
     fleet.cut = {"hall-b"}
     fleet.flood("t1", 50.0, 10.0, ALL)
-    share = fleet.refused["t1"] / len(fleet.let_through["t1"])
-    assert share < 0.03  # A new keeper has the rate alone at first.
+    share = fleet.refused["t1"] / len(fleet.admitted["t1"])
+    assert share < 0.03  # A new owner has no burst at first.
 
 
-def test_a_flood_through_the_loss_and_return_of_its_keeper():
+def test_a_flood_during_the_loss_and_return_of_the_owner():
     fleet = Fleet()
-    keeper = fleet.home("t1", ALL)
+    owner = fleet.home("t1", ALL)
     fleet.flood("t1", 500.0, 4.0, ALL)
-    fleet.down.add(keeper)
+    fleet.down.add(owner)
     fleet.flood("t1", 500.0, 2.0, ALL)
-    fleet.start(keeper)
+    fleet.start(owner)
     fleet.flood("t1", 500.0, 6.0, ALL)
-    assert fleet.most("t1") <= bound()
+    assert fleet.max_in_window("t1") <= bound()
 
 
-def test_a_flood_through_the_restart_of_all_nodes():
+def test_a_flood_during_the_restart_of_all_nodes():
     fleet = Fleet()
     fleet.flood("t1", 500.0, 4.0, ALL)
     for name in ALL:
         fleet.start(name)
     fleet.flood("t1", 500.0, 6.0, ALL)
-    assert fleet.most("t1") <= bound()
+    assert fleet.max_in_window("t1") <= bound()
 
 
-def test_other_nodes_ask_the_keeper():
+def test_other_nodes_request_tokens_from_the_owner():
     fleet = Fleet()
     rng = random.Random(3)
     end = fleet.clock.now() + 10.0
@@ -367,16 +372,16 @@
         fleet.clock.advance(rng.expovariate(500.0))
         fleet.ask(rng.choice(ALL), "t1")
         count += 1
-    assert fleet.most("t1") <= bound()
-    let_through = len(fleet.let_through["t1"])
-    assert let_through + fleet.refused["t1"] >= count - 5
-    assert let_through >= 0.95 * LIMIT.rate_per_s * 10
+    assert fleet.max_in_window("t1") <= bound()
+    admitted = len(fleet.admitted["t1"])
+    assert admitted + fleet.refused["t1"] >= count - 5
+    assert admitted >= 0.95 * LIMIT.rate_per_s * 10
 
 
-def test_tokens_in_advance_spare_most_questions():
+def test_tokens_in_advance_save_most_requests():
     fleet = Fleet()
-    keeper = fleet.home("t1", ALL)
-    other = next(n for n in ALL if n != keeper)
+    owner = fleet.home("t1", ALL)
+    other = next(n for n in ALL if n != owner)
     for _ in range(200):
         fleet.clock.advance(0.05)
         fleet.ask(other, "t1")
@@ -384,7 +389,7 @@
     assert fleet.asked < 80
 
 
-def test_what_did_not_run_is_given_back():
+def test_tokens_of_operations_that_did_not_run_are_returned():
     fleet = Fleet()
     fleet.limit = _teams.Limit(1.0, 3.0)
     node = fleet.home("t1", ALL)
@@ -394,23 +399,23 @@
     assert not fleet.refused["t1"]
 
 
-def test_what_another_node_gave_goes_to_no_bucket_of_this_one():
-    """Else it would hand out a burst of its own once the keeper is lost."""
+def test_tokens_from_another_node_are_not_added_to_the_own_bucket():
+    """Otherwise the node could grant a second burst if the owner is lost."""
     fleet = Fleet()
-    keeper = fleet.home("t1", ALL)
-    other = next(n for n in ALL if n != keeper)
-    # It stood in for the keeper before.
+    owner = fleet.home("t1", ALL)
+    other = next(n for n in ALL if n != owner)
+    # The node has acted for the owner before and has a bucket.
     fleet.nodes[other].answer(_rate_limiter.AllowanceRequest("t1", True))
     for _ in range(200):
         fleet.ask(other, "t1")
         fleet.clock.advance(0.02)
         fleet.nodes[other].give_back("t1")
     assert not fleet.refused["t1"]
-    assert fleet.asked < 20  # What was given back serves the next.
+    assert fleet.asked < 20  # A returned token serves the next operation.
     assert fleet.nodes[other]._buckets["t1"].tokens < LIMIT.burst / 2
 
 
-def test_buckets_that_are_not_used_are_dropped():
+def test_unused_buckets_are_dropped():
     fleet = Fleet()
     node = fleet.home("t1", ALL)
     fleet.ask(node, "t1")
@@ -418,10 +423,10 @@
     assert not fleet.nodes[node]._buckets
 
 
-def homes_elsewhere(than, nodes=NODES):
-    """Returns homes that are dealt out anew, with the team at another node.
+def placement_elsewhere(than, nodes=NODES):
+    """Returns a placement in which the team has another home node.
 
-    A team that weighs more fills the node where the team was.
+    A team with a larger rate fills the node that was its home.
     """
     for number in range(1000):
         team_placement = _team_placement.TeamPlacement(
@@ -434,22 +439,29 @@
 
 @pytest.mark.parametrize("changes", [1, 2, 4])
 @pytest.mark.parametrize("gap_s", [0.3, 1.0, 2.0])
-def test_a_flood_while_homes_are_dealt_out_anew(changes, gap_s):
-    """As each change of a limit does; the new homes had a full burst each."""
+def test_a_flood_while_teams_are_assigned_anew(changes, gap_s):
+    """Guards against a full burst at each new home.
+
+    Each change of a limit assigns the teams anew.
+    """
     fleet = Fleet()
     fleet.flood("t1", 500.0, 1.0, ALL)
     for _ in range(changes):
-        fleet.team_placement = homes_elsewhere(fleet.home("t1", ALL))
+        fleet.team_placement = placement_elsewhere(fleet.home("t1", ALL))
         fleet.flood("t1", 500.0, gap_s, ALL)
     fleet.flood("t1", 500.0, 6.0, ALL)
-    assert fleet.most("t1") <= bound()
-    assert len(fleet.let_through["t1"]) >= LIMIT.rate_per_s * 6.0
+    assert fleet.max_in_window("t1") <= bound()
+    assert len(fleet.admitted["t1"]) >= LIMIT.rate_per_s * 6.0
 
 
 @pytest.mark.parametrize("cut_s", [0.4, 1.0, 1.6])
 @pytest.mark.parametrize("place", ["hall-a", "hall-b", "hall-c"])
-def test_a_flood_through_cuts_that_come_and_go(place, cut_s):
-    """A home that was cut off filled its bucket beside who stood in for it."""
+def test_a_flood_during_short_partitions(place, cut_s):
+    """Guards against the refill of a bucket while another node acts for it.
+
+    A home that was cut off refilled its bucket for the time in which a
+    substitute had granted the rate.
+    """
     fleet = Fleet()
     outside = [n for n in ALL if NODES[n].data_centre != place]
     fleet.flood("t1", 500.0, 3.0, ALL)
@@ -459,97 +471,111 @@
         fleet.cut = set()
         fleet.flood("t1", 500.0, 0.4, ALL)
     fleet.flood("t1", 500.0, 5.0, ALL)
-    assert fleet.most("t1") <= bound()
+    assert fleet.max_in_window("t1") <= bound()
 
 
-def flood_beside_late_nodes(fleet, late, late_s, seed):
-    """Floods a fleet in which some nodes hear later of a change of homes."""
+def flood_with_late_nodes(fleet, late, late_s, seed):
+    """Floods a fleet in which some nodes learn of a new placement late."""
     fleet.flood("t1", 500.0, 3.0, ALL)
-    fleet.late_homes = dict.fromkeys(late, fleet.team_placement)
-    fleet.team_placement = homes_elsewhere(fleet.home("t1", ALL))
+    fleet.late_placements = dict.fromkeys(late, fleet.team_placement)
+    fleet.team_placement = placement_elsewhere(fleet.home("t1", ALL))
     rng = random.Random(seed)
     end = fleet.clock.now() + late_s
     while fleet.clock.now() < end:
         fleet.clock.advance(rng.expovariate(500.0))
         fleet.ask(rng.choice(ALL), "t1")
-    fleet.late_homes = {}
+    fleet.late_placements = {}
     fleet.flood("t1", 500.0, 6.0, ALL)
 
 
 @pytest.mark.parametrize("seed", range(6))
 @pytest.mark.parametrize("late_s", [0.2, 0.5])
-def test_a_flood_while_nodes_know_different_homes(seed, late_s):
-    """The old home is among those that hear later, or not."""
+def test_a_flood_while_nodes_have_different_placements(seed, late_s):
+    """The old home may be among the nodes that learn late."""
     fleet = Fleet()
     late = random.Random(seed).sample(ALL, 4)
-    flood_beside_late_nodes(fleet, late, late_s, seed)
-    assert fleet.most("t1") <= bound()
+    flood_with_late_nodes(fleet, late, late_s, seed)
+    assert fleet.max_in_window("t1") <= bound()
 
 
 @pytest.mark.parametrize("late_s", [1.0, 3.0])
-def test_nodes_that_hear_late_are_counted_by_the_new_home(late_s):
-    """They ask the old one, which knows; it gave them the rate once more."""
+def test_requests_of_late_nodes_are_counted_at_the_new_home(late_s):
+    """Guards against an old home that grants the rate a second time.
+
+    Late nodes ask the old home, which knows of the change already.
+    """
     fleet = Fleet()
     old = fleet.home("t1", ALL)
-    new = homes_elsewhere(old).home("t1", ALL)
+    new = placement_elsewhere(old).home("t1", ALL)
     late = [n for n in ALL if n not in (old, new)][:4]
-    flood_beside_late_nodes(fleet, late, late_s, seed=1)
-    assert fleet.most("t1") <= bound()
+    flood_with_late_nodes(fleet, late, late_s, seed=1)
+    assert fleet.max_in_window("t1") <= bound()
 
 
 @pytest.mark.parametrize("gap_s", [0.5, 2.0, 6.0])
-def test_a_change_of_homes_costs_little_below_the_limit(gap_s):
-    """A new home begins with little: 9 of 1,281 are refused, none before.
+def test_a_new_placement_refuses_little_below_the_limit(gap_s):
+    """Checks the price of the few tokens that a new home starts with.
 
-    In four changes, at 0.62 of the limit's rate; 0 of 1,180 where a window
-    lies between two.
+    In four changes at 0.62 of the limit's rate, 9 of 1,281 operations are
+    refused, where none were with full buckets; 0 of 1,180 are if a window lies
+    between two changes.
     """
     fleet = Fleet()
     for _ in range(4):
-        fleet.team_placement = homes_elsewhere(fleet.home("t1", ALL))
+        fleet.team_placement = placement_elsewhere(fleet.home("t1", ALL))
         fleet.flood("t1", LIMIT.rate_per_s / 1.6, gap_s, ALL)
     fleet.flood("t1", LIMIT.rate_per_s / 1.6, 18.0 - 4 * gap_s + 6.0, ALL)
-    let_through = len(fleet.let_through["t1"])
-    assert fleet.refused["t1"] <= 0.03 * let_through
+    admitted = len(fleet.admitted["t1"])
+    assert fleet.refused["t1"] <= 0.03 * admitted
 
 
 def flooded(seed, has_home):
-    """Returns a fleet amid a flood, and two fifths of its nodes.
+    """Returns a fleet during a flood, and two fifths of its nodes.
 
     Args:
-        seed: What the nodes are drawn from.
-        has_home: Whether the team's home is among them.
+        seed: The seed of the random choice of nodes.
+        has_home: Whether the team's home is one of them.
     """
-    fleet = Fleet(MANY)
-    home = fleet.home("t1", list(MANY))
-    others = [n for n in MANY if n != home]
-    few = random.Random(seed).sample(others, 6 - has_home) + [home] * has_home
-    fleet.flood("t1", LIMIT.rate_per_s / 1.6, 3.0, list(MANY))
-    fleet.flood("t1", 500.0, 0.5, list(MANY))
-    return fleet, few
+    fleet = Fleet(FIFTEEN_NODES)
+    home = fleet.home("t1", list(FIFTEEN_NODES))
+    others = [n for n in FIFTEEN_NODES if n != home]
+    chosen = (
+        random.Random(seed).sample(others, 6 - has_home) + [home] * has_home
+    )
+    fleet.flood("t1", LIMIT.rate_per_s / 1.6, 3.0, list(FIFTEEN_NODES))
+    fleet.flood("t1", 500.0, 0.5, list(FIFTEEN_NODES))
+    return fleet, chosen
 
 
 @pytest.mark.parametrize("has_home", [True, False])
 @pytest.mark.parametrize("seed", range(3))
-def test_a_flood_through_a_split_across_data_centres(seed, has_home):
-    """Both sides heard some of each data centre, and gave out all of it."""
-    fleet, few = flooded(seed, has_home)
-    fleet.split = (set(few), fleet.clock.now())
-    fleet.flood("t1", 500.0, 7.0, list(MANY))
+def test_a_flood_during_a_partition_across_data_centres(seed, has_home):
+    """Guards against shares that count data centres instead of nodes.
+
+    Both sides heard nodes of each data centre and granted its whole share.
+    """
+    fleet, chosen = flooded(seed, has_home)
+    fleet.split = (set(chosen), fleet.clock.now())
+    fleet.flood("t1", 500.0, 7.0, list(FIFTEEN_NODES))
     fleet.split = (set(), math.inf)
-    fleet.flood("t1", 500.0, 6.0, list(MANY))
-    assert fleet.most("t1") <= bound()
+    fleet.flood("t1", 500.0, 6.0, list(FIFTEEN_NODES))
+    assert fleet.max_in_window("t1") <= bound()
 
 
 @pytest.mark.parametrize("has_home", [True, False])
 @pytest.mark.parametrize("seed", range(3))
-def test_a_flood_as_nodes_are_cut_off_one_from_another(seed, has_home):
-    """Each took the team's limit for its own until it knew that it was cut."""
-    fleet, few = flooded(seed, has_home)
-    fleet.alone = dict.fromkeys(few, fleet.clock.now())
-    fleet.flood("t1", 500.0, 0.5, list(MANY))
-    fleet.team_placement = homes_elsewhere(fleet.home("t1", list(MANY)), MANY)
-    fleet.flood("t1", 500.0, 6.5, list(MANY))
+def test_a_flood_while_nodes_are_isolated_from_each_other(seed, has_home):
+    """Guards against a full limit at each node that has just been isolated.
+
+    Each granted the whole limit until it knew that it was cut off.
+    """
+    fleet, chosen = flooded(seed, has_home)
+    fleet.alone = dict.fromkeys(chosen, fleet.clock.now())
+    fleet.flood("t1", 500.0, 0.5, list(FIFTEEN_NODES))
+    fleet.team_placement = placement_elsewhere(
+        fleet.home("t1", list(FIFTEEN_NODES)), FIFTEEN_NODES
+    )
+    fleet.flood("t1", 500.0, 6.5, list(FIFTEEN_NODES))
     fleet.alone = {}
-    fleet.flood("t1", 500.0, 6.0, list(MANY))
-    assert fleet.most("t1") <= bound()
+    fleet.flood("t1", 500.0, 6.0, list(FIFTEEN_NODES))
+    assert fleet.max_in_window("t1") <= bound()
--- a/packages/proxy/src/ferry_proxy/tests/test_overload.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""More load than the members can run: who is served, and who waits."""
+"""Tests of priorities, waits and refusals under overload."""
 
 import attrs
 import pytest
@@ -27,7 +27,10 @@
 
 
 class Load(fakes.Lab):
-    """Reads of two routes that only a primary with two slots can run."""
+    """Sends statements of two routes to members with two slots each.
+
+    While the replicas lag, only the primary can run the reads.
+    """
 
     def __init__(self) -> None:
         super().__init__(_configuration.Consistency.SESSION, limit=7)
@@ -40,38 +43,42 @@
         }
         self.group.set_members(entries, 7, nodes=1)
         self.do(self.session(), fakes.statement("WRITE x 1"))
-        self.run(3.0)  # All floors cover the write now.
+        self.run(3.0)  # From now on, all floors cover the write.
         self.urgent = attrs.evolve(self.route, name="u", priority=0)
         self.answers: list[tuple[str, float, str]] = []
 
     def lag(self) -> None:
-        """Makes both replicas show nothing new."""
+        """Makes both replicas fall behind."""
         for name in "bc":
             self.cluster.behind.add(name)
 
     def offer(self, route: _configuration.Route, per_s: float, seconds: float):
-        """Offers reads at a steady rate."""
+        """Sends reads at a steady rate."""
         for number in range(int(per_s * seconds)):
             self.clock.after(number / per_s, lambda: self._ask(route))
 
     def _ask(self, route) -> None:
         routes = {"db": route}
         self.configuration = attrs.evolve(self.configuration, routes=routes)
-        began = self.clock.now()
+        started_at = self.clock.now()
         fut = self.session().run(fakes.statement("READ x"))
 
-        fut.add_done_callback(lambda done: self._note(route.name, began, done))
+        fut.add_done_callback(
+            lambda done: self._note(route.name, started_at, done)
+        )
 
-    def _note(self, route, began, done) -> None:
+    def _note(self, route, started_at, done) -> None:
         reason = done.result().reason
-        took = self.clock.now() - began
-        self.answers.append((route, took, reason.name if reason else "ran"))
+        elapsed_s = self.clock.now() - started_at
+        self.answers.append(
+            (route, elapsed_s, reason.name if reason else "ran")
+        )
 
     def ask_write(self) -> None:
-        """Offers one write."""
-        began = self.clock.now()
+        """Sends one write."""
+        started_at = self.clock.now()
         fut = self.session().run(fakes.statement("WRITE x 1"))
-        fut.add_done_callback(lambda done: self._note("r", began, done))
+        fut.add_done_callback(lambda done: self._note("r", started_at, done))
 
     def served(self, route: str) -> list[float]:
         return [t for n, t, o in self.answers if n == route and o == "ran"]
@@ -80,7 +87,7 @@
         return [t for n, t, o in self.answers if n == route and o != "ran"]
 
 
-def test_the_urgent_do_not_wait_behind_the_rest():
+def test_urgent_reads_do_not_wait_behind_others():
     lab = Load()
     lab.lag()
     lab.offer(lab.route, 400, 2.0)  # Twice what the primary can run.
@@ -91,7 +98,7 @@
     assert urgent[len(urgent) // 2] < 0.06
 
 
-def test_who_cannot_be_served_hears_so_soon_and_the_rest_is_in_time():
+def test_refusals_come_early_and_the_rest_is_served_in_time():
     lab = Load()
     lab.lag()
     lab.offer(lab.route, 400, 2.0)
@@ -104,17 +111,17 @@
     assert max(lab.refused("r")) <= share * lab.route.target_s + 0.03
 
 
-def test_replicas_that_lag_are_not_asked_by_each_read():
+def test_lagging_replicas_are_not_asked_by_each_read():
     lab = Load()
     lab.lag()
     lab.offer(lab.route, 100, 1.0)
     lab.run(2.0)
     assert len(lab.served("r")) == 100
-    # Each may be asked again after a tenth of a second, by two reads at once.
+    # Each replica may be asked again every 0.1 s, by two reads at once.
     assert lab.cluster.refused_behind <= 40
 
 
-def test_replicas_take_the_reads_again_once_they_have_caught_up():
+def test_replicas_run_the_reads_again_once_they_have_caught_up():
     lab = Load()
     lab.lag()
     lab.offer(lab.route, 100, 1.0)
@@ -127,18 +134,18 @@
     assert len(lab.cluster.members["a"].runs) - before < 20
 
 
-def test_the_primary_helps_out_when_replicas_have_too_many_reads():
+def test_the_primary_runs_reads_when_replicas_have_too_many():
     lab = Load()
-    lab.offer(lab.route, 500, 2.0)  # Two replicas run 400 a second.
+    lab.offer(lab.route, 500, 2.0)  # Two replicas can run 400 a second.
     lab.run(4.0)
     served = lab.served("r")
     assert len(served) > 950
-    assert max(served) < 0.1  # Without its help some wait 0.7 s.
+    assert max(served) < 0.1  # Without the primary, some wait 0.7 s.
     runs = {n: len(m.runs) for n, m in lab.cluster.members.items()}
     assert runs["b"] + runs["c"] > 0.7 * 1000
 
 
-def test_the_primary_is_spared_while_replicas_can_run_all_reads():
+def test_the_primary_runs_few_reads_while_replicas_can_run_all():
     lab = Load()
     before = len(lab.cluster.members["a"].runs)
     lab.offer(lab.route, 200, 2.0)
@@ -147,9 +154,9 @@
     assert len(lab.cluster.members["a"].runs) - before < 20
 
 
-def test_nobody_waits_for_long_where_all_members_have_too_much():
+def test_no_caller_waits_long_when_all_members_are_overloaded():
     lab = Load()
-    lab.offer(lab.route, 1500, 1.0)  # The three of them run 600 a second.
+    lab.offer(lab.route, 1500, 1.0)  # The three members can run 600 a second.
     lab.run(3.0)
     assert len(lab.answers) == 1500
     share = lab.policy.hold_share
@@ -157,8 +164,12 @@
     assert max(lab.refused("r")) <= share * lab.route.target_s + 0.03
 
 
-def test_who_waited_for_a_change_is_served_after_it():
-    """17 of 48 were served while they had a fifth of their target; 45 now."""
+def test_writes_held_during_a_change_of_primary_are_served_after_it():
+    """Guards against refusing writes that were held during the change.
+
+    They all run right after it. With a fifth of their latency target to wait
+    for a member, 17 of 48 were served; with the whole target, 45 are.
+    """
     lab = Load()
     lab.cluster.members["a"].dark = True
     for number in range(48):
@@ -171,7 +182,7 @@
     assert max(lab.served("r")) < lab.route.timeout_s
 
 
-def test_links_of_a_burst_are_closed_again_but_for_a_few():
+def test_links_opened_for_a_burst_are_trimmed_afterwards():
     lab = Load()
     lab.offer(lab.route, 400, 1.0)
     lab.run(1.0)
--- a/packages/proxy/src/ferry_proxy/tests/test_refusals.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals that rest on the configuration, and what the log says of them."""
+"""Tests of refusals by the configuration, and of their log lines."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def lines():
-    """Yields a function that returns the events of the process's log."""
+    """Yields a function that reads the events that the process logged."""
     read, write = os.pipe()
     _events.start_log(_events.EventLog("n1", write))
     yield lambda: [json.loads(x) for x in os.read(read, 65536).splitlines()]
@@ -22,14 +22,14 @@
     os.close(write)
 
 
-def test_the_log_says_what_a_refusal_rests_on(lines):
+def test_a_refusal_is_logged_with_its_evidence(lines):
     refusals = fakes.REFUSALS
     refusals.of(decisions.UNKNOWN_DATABASE, "orders-db")
     (line,) = lines()
     assert line["event"] == "RefusedByConfiguration"
     assert line["subject"] == "orders-db"
-    shown = attrs.asdict(fakes.CURRENT) | {"copy_read_s": None}
-    assert line["evidence"] == shown
+    expected = attrs.asdict(fakes.CURRENT) | {"copy_read_s": None}
+    assert line["evidence"] == expected
 
 
 def test_a_session_on_an_unknown_database_is_refused_with_its_evidence(lines):
@@ -44,15 +44,15 @@
     assert [x["reason"] for x in refused] == ["unknown_database"] * 2
 
 
-BEHIND = [
+OUTDATED_EVIDENCE = [
     {"told_version": 2},
     {"store_age_s": 60.0},
     {"era": 1, "store_era": 1, "copy_read_s": 0.2},
 ]
 
 
-@pytest.mark.parametrize("changes", BEHIND)
-def test_no_database_is_unknown_for_good_by_an_outdated_configuration(changes):
+@pytest.mark.parametrize("changes", OUTDATED_EVIDENCE)
+def test_an_outdated_configuration_refuses_no_database_for_good(changes):
     lab = fakes.Lab()
     session = lab.session()
     lab.evidence = attrs.evolve(fakes.CURRENT, **changes)
@@ -63,8 +63,8 @@
     assert answer.reason.retry_after_s > 0
 
 
-@pytest.mark.parametrize("changes", BEHIND)
-def test_no_key_is_refused_for_good_by_an_outdated_configuration(changes):
+@pytest.mark.parametrize("changes", OUTDATED_EVIDENCE)
+def test_an_outdated_configuration_refuses_no_key_for_good(changes):
     lab = fakes.Lab(has_teams=True)
     session = lab.session("key-of-a-new-team")
     lab.evidence = attrs.evolve(fakes.CURRENT, **changes)
--- a/packages/proxy/src/ferry_proxy/tests/test_routing.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Which member gets a read."""
+"""Tests of the selection of a member for a read."""
 
 import attrs
 import pytest
@@ -53,10 +53,10 @@
             "p",
         ),
         ({"near": {"latency_s": 0.001}, "far": {"latency_s": 0.004}}, "near"),
-        # A free link is worth a statement's time,
+        # A free link is worth the time of one statement,
         ({"near": {"has_link": False}}, "far"),
         ({"near": {"has_link": False}, "far": {"has_link": False}}, "near"),
-        # and no more than that.
+        # but not more than that.
         ({"near": {"has_link": False}, "far": {"in_flight": 2}}, "near"),
     ],
 )
@@ -70,5 +70,5 @@
     assert found.member == expected
 
 
-def test_nobody():
+def test_no_candidates():
     assert _routing.best([]) is None
--- a/packages/proxy/src/ferry_proxy/tests/test_sessions.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions, transactions and single statements against a fake group."""
+"""Tests of sessions, transactions and single statements on a fake group."""
 
 import ferry_decisions as decisions
 import pytest
@@ -12,7 +12,7 @@
 
 
 def reasons(lab, session, *texts):
-    """Runs statements; returns the name of each one's failure."""
+    """Runs statements; returns the reason of each failure, empty if none."""
     answers = [lab.do(session, fakes.statement(t)) for t in texts]
     return [a.reason.name if a.reason else "" for a in answers]
 
@@ -37,7 +37,9 @@
         (CONSISTENCY.SESSION, "b"),
     ],
 )
-def test_replicas_take_the_reads_that_they_may(consistency, member):
+def test_replicas_run_the_reads_that_the_consistency_allows(
+    consistency, member
+):
     lab = fakes.Lab(consistency)
     answer = lab.do(lab.session(), fakes.statement("READ x"))
     assert answer.proof == "proof-" + member
@@ -68,7 +70,7 @@
     assert reasons(lab, session, *texts) == expected
 
 
-def test_values_are_in_place_and_no_one_elses():
+def test_statements_see_the_values_of_their_own_session_only():
     lab = fakes.Lab(limit=1)
     one, two, plain = lab.session(), lab.session(), lab.session()
     lab.do(one, fakes.statement("SET tz UTC"))
@@ -117,7 +119,7 @@
     assert reasons(lab, third, "WRITE x 1") == [""]
 
 
-def test_a_resting_transaction_is_ended_and_told():
+def test_an_idle_transaction_fails_and_the_caller_is_told():
     lab = fakes.Lab()
     session = lab.session()
     reasons(lab, session, "BEGIN", "WRITE x 1")
@@ -149,29 +151,33 @@
         (["BEGIN", "READ x !"], "transaction_lost"),
     ],
 )
-def test_what_is_told_when_the_link_breaks(texts, expected):
-    """`!` alone breaks the links; after a text, while it is under way."""
+def test_the_reason_when_a_link_breaks(texts, expected):
+    """Checks the reason that a caller gets when its link breaks.
+
+    A `!` alone breaks the links between two statements; a `!` after a
+    statement breaks them while it runs.
+    """
     lab = fakes.Lab()
     session = lab.session()
-    told = []
+    reasons_seen = []
     for text in texts:
-        breaks = text.endswith("!")
+        breaks_links = text.endswith("!")
         statement = text.removesuffix("!")
         fut = None
         if statement.strip():
             fut = session.run(fakes.statement(statement.strip()))
-            lab.run(0.005 if breaks else 0.1)
-        if breaks:
+            lab.run(0.005 if breaks_links else 0.1)
+        if breaks_links:
             for link in list(lab.cluster.members["a"].links):
                 link.fail("reset")
             lab.run(1.5)
         if fut is not None:
-            told.append(fut.result().reason)
-    assert told[-1] is not None
-    assert told[-1].name == expected
+            reasons_seen.append(fut.result().reason)
+    assert reasons_seen[-1] is not None
+    assert reasons_seen[-1].name == expected
 
 
-def test_a_write_without_an_answer_is_not_handed_over_again():
+def test_a_write_without_an_answer_is_not_sent_again():
     lab = fakes.Lab()
     lab.cluster.members["a"].lose_answers = 1
     answer = lab.do(lab.session(), fakes.statement("WRITE x 1", "once"))
@@ -180,7 +186,7 @@
     assert len(runs) == 1
 
 
-def test_a_read_without_an_answer_is_asked_elsewhere():
+def test_a_read_without_an_answer_is_sent_to_another_member():
     lab = fakes.Lab(CONSISTENCY.BOUNDED)
     lab.cluster.members["b"].lose_answers = 1
     begun = lab.clock.now()
@@ -189,14 +195,14 @@
     assert lab.clock.now() - begun < lab.route.target_s
 
 
-def test_a_busy_member_is_asked_again():
+def test_a_statement_is_retried_at_a_busy_member():
     lab = fakes.Lab()
     lab.cluster.members["a"].busy = 3
     answer = lab.do(lab.session(), fakes.statement("WRITE x 1"))
     assert answer.reason is None
 
 
-def test_own_commits_are_in_the_floor_of_own_reads():
+def test_the_floor_of_a_read_covers_the_sessions_own_commits():
     lab = fakes.Lab()
     session = lab.session()
     wrote = lab.do(session, fakes.statement("WRITE x 1"))
@@ -205,7 +211,7 @@
     assert floor is not None and floor >= wrote.position
 
 
-def test_a_route_that_is_gone_is_refused_by_name():
+def test_a_removed_route_is_refused_as_unknown_database():
     lab = fakes.Lab()
     session = lab.session()
     lab.configuration = _configuration.Configuration(2, {}, {}, 3.0, 1 << 20)
@@ -242,8 +248,11 @@
     assert answer.reason is decisions.NO_PRIMARY
 
 
-def test_members_that_are_all_behind_are_not_pestered():
-    """Incident inc-1442: a read was asked 35 times in 0.4 s."""
+def test_members_that_are_all_behind_get_few_retries():
+    """Guards against retry storms while no member is fresh enough.
+
+    In incident inc-1442, one read was sent 35 times in 0.4 s.
+    """
     lab = fakes.Lab(CONSISTENCY.BOUNDED)
     lab.cluster.showing = decisions.Position(0, 0)
     lab.cluster.members["a"].log = [(1, "w")]
@@ -253,20 +262,24 @@
     assert lab.cluster.refused_behind <= 12
 
 
-def test_a_silent_read_is_not_asked_at_a_member_that_leaves():
-    """Day rough-42: a hedge went to a member that had left 7.8 s before."""
+def test_a_silent_read_is_not_hedged_at_a_draining_member():
+    """Guards against hedged reads at members that are draining.
+
+    In the recorded day rough-42, a hedged read was sent to a member that had
+    left 7.8 s before.
+    """
     lab = fakes.Lab(CONSISTENCY.BOUNDED)
-    leaving = lab.cluster.members["c"]
-    leaving.draining = True
+    draining_member = lab.cluster.members["c"]
+    draining_member.draining = True
     lab.group.set_members(lab.cluster.entries(), lab.limit)
     for name in "ab":
         lab.cluster.members[name].lose_answers = 2
     lab.do(lab.session(), fakes.statement("READ x"))
-    assert leaving.runs == []
+    assert draining_member.runs == []
 
 
 @pytest.mark.parametrize(("text"), ["WRITE x 1", "READ x"])
-def test_a_primary_that_has_long_been_leaving_gets_nothing_new(text):
+def test_a_primary_that_has_long_been_draining_gets_nothing_new(text):
     lab = fakes.Lab(CONSISTENCY.PRIMARY)
     lab.cluster.members["a"].draining = True
     lab.group.set_members(lab.cluster.entries(), lab.limit)
--- a/packages/proxy/src/ferry_proxy/tests/test_teams.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_teams.py
@@ -1,4 +1,4 @@
-"""Teams, their keys, and in whose name statements run."""
+"""Tests of teams, their keys and the identities of statements."""
 
 import attrs
 import ferry_decisions as decisions
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    ("teams", "key", "holder"),
+    ("teams", "key", "owner"),
     [
         ([team("a", "k1", "k2")], "k1", "a"),
         ([team("a", "k1", "k2")], "k2", "a"),
@@ -37,29 +37,29 @@
         ([team("a", "k1")], "", None),
         ([team("a", "k1")], "a", None),
         ([team("a"), team("b", "k2")], "k1", None),
-        # A key of two teams is nobody's; their other keys hold.
+        # A key of two teams belongs to neither; their other keys are valid.
         ([team("a", "k1", "k2"), team("b", "k1")], "k1", None),
         ([team("a", "k1", "k2"), team("b", "k1")], "k2", "a"),
-        # Of two teams of one name the first stands.
+        # Of two teams with one name, the first one counts.
         ([team("a", "k1"), team("a", "k2")], "k2", None),
         ([team("a", "k1"), team("a", "k2")], "k1", "a"),
     ],
 )
-def test_who_holds_a_key(teams, key, holder):
+def test_the_team_of_a_key(teams, key, owner):
     access = _access.Access(
         True, lambda: configuration(4, *teams), fakes.REFUSALS
     )
-    if holder is None:
+    if owner is None:
         with pytest.raises(decisions.RequestFailedError) as caught:
             access.identify(ROUTE, key)
         assert caught.value.reason is decisions.LOGIN_REFUSED
         assert not key or key not in caught.value.detail.split()
     else:
         caller = access.identify(ROUTE, key)
-        assert (caller.team, caller.version) == (holder, 4)
+        assert (caller.team, caller.version) == (owner, 4)
 
 
-def test_what_is_passed_over_is_told():
+def test_ignored_entries_are_reported():
     found = _teams.Teams.of([team("a", "k1"), team("b", "k1"), team("a", "k3")])
     assert found.mistakes == (
         "team b lists another's key",
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize(
     ("has_teams", "is_open"), [(False, False), (True, True)]
 )
-def test_where_no_key_is_needed(has_teams, is_open):
+def test_callers_are_anonymous_where_no_key_is_needed(has_teams, is_open):
     route = attrs.evolve(ROUTE, is_open=is_open)
     access = _access.Access(has_teams, lambda: configuration(1), fakes.REFUSALS)
     assert access.identify(route, "") is _teams.ANONYMOUS
@@ -79,11 +79,11 @@
 @pytest.mark.parametrize(
     ("own_version", "teams", "expected"),
     [
-        (3, [team("a", "k")], "a"),  # Older than the other node's.
+        (3, [team("a", "k")], "a"),  # Older than that of the other node.
         (3, [], "a"),
         (4, [team("a", "k")], "a"),
-        (5, [team("b", "k")], "b"),  # The key has moved.
-        (5, [], None),  # It was taken away.
+        (5, [team("b", "k")], "b"),  # The key has moved to another team.
+        (5, [], None),  # The key was revoked.
     ],
 )
 def test_the_newer_configuration_decides(own_version, teams, expected):
@@ -99,7 +99,7 @@
 
 
 class TeamsLab(fakes.Lab):
-    """A group whose callers belong to teams."""
+    """A lab whose callers belong to teams."""
 
     def __init__(self, **kwargs) -> None:
         super().__init__(has_teams=True, **kwargs)
@@ -130,7 +130,7 @@
         assert lab.ran_as(statement.request_id) == name
 
 
-def test_an_idle_teams_link_makes_room(lab):
+def test_links_of_idle_teams_are_closed_to_make_room(lab):
     keys = {f"t{n}": f"k{n}" for n in range(9)}
     lab.set_teams(*(team(n, k) for n, k in keys.items()))
     for name, key in keys.items():
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("text", ["READ x", "WRITE x 1"])
-def test_a_key_that_is_taken_away_runs_nothing_more(lab, text):
+def test_a_revoked_key_runs_nothing_more(lab, text):
     session = lab.session("ka")
     assert lab.do(session, fakes.statement(text)).reason is None
     lab.set_teams(team("a"), team("b", "kb"))
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize("text", ["READ x", "COMMIT"])
-def test_a_transaction_ends_with_its_key(lab, text):
+def test_a_transaction_fails_when_its_key_is_revoked(lab, text):
     session = lab.session("ka")
     lab.do(session, fakes.statement("BEGIN"))
     assert lab.do(session, fakes.statement("WRITE x 1")).reason is None
@@ -167,7 +167,7 @@
     assert session.state is STATES.IDLE
 
 
-def test_a_key_that_moves_ends_its_transaction(lab):
+def test_a_transaction_fails_when_its_key_moves_to_another_team(lab):
     session = lab.session("ka")
     lab.do(session, fakes.statement("BEGIN"))
     assert lab.do(session, fakes.statement("WRITE x 1")).reason is None
@@ -181,7 +181,7 @@
     assert lab.ran_as("late") == "b"
 
 
-def test_questions_of_ours_need_no_link_of_their_own(lab):
+def test_control_commands_need_no_links_of_their_own(lab):
     lab.do(lab.session("ka"), fakes.statement("WRITE x 1"))
     before = {n: m.opened for n, m in lab.cluster.members.items()}
     lab.run(3.0)
@@ -191,10 +191,10 @@
 def test_statements_are_counted_by_team(lab):
     lab.do(lab.session("ka"), fakes.statement("READ x"))
     lab.do(lab.session("kb"), fakes.statement("READ x"))
-    shown = lab.ctx.metrics.render().decode()
+    rendered = lab.ctx.metrics.render().decode()
     for name in "ab":
         line = f'team_statements_total{{outcome="ran",team="{name}"}} 1'
-        assert line in shown
+        assert line in rendered
 
 
 def test_the_counters_of_teams_are_bounded():
