--- a/packages/proxy/src/ferry_proxy/_in_force.py
+++ b/packages/proxy/src/ferry_proxy/_active_configuration.py
@@ -26,7 +26,7 @@
     learned_at: float
 
 
-class InForce:
+class ActiveConfiguration:
     """The newest configuration that a node has heard of.
 
     Attributes:
--- a/packages/proxy/src/ferry_proxy/_execution.py
+++ b/packages/proxy/src/ferry_proxy/_execution.py
@@ -108,7 +108,11 @@
         group = job.group
         took_s = self._clock.now() - job.progress.dispatched_at
         fresh = group.floor_age_s < self._policy.suspect_s
-        if fresh and not group.is_in_flux and took_s < self._policy.doubt_s:
+        if (
+            fresh
+            and not group.is_membership_changing
+            and took_s < self._policy.doubt_s
+        ):
             return
         try:
             yield group.prove()
@@ -126,7 +130,7 @@
         """
         while True:
             pool = job.group.leader_pool
-            usable = pool is not None and pool.may_take_work
+            usable = pool is not None and pool.accepts_statements
             if pool is not None and usable and not pool.is_unreachable:
                 return pool
             left = job.hold_end(self._policy) - self._clock.now()
@@ -192,7 +196,9 @@
 
     def _may_refresh(self, group: _groups.Group) -> bool:
         """Whether a new status round could find a more recent floor."""
-        recent = self._clock.now() - group.round_at < FLOOR_REFRESH_INTERVAL_S
+        recent = (
+            self._clock.now() - group.last_round_at < FLOOR_REFRESH_INTERVAL_S
+        )
         return group.leader is not None and not recent
 
     def _choose(
@@ -223,7 +229,7 @@
             p
             for p in not_draining or listed
             if p.member.id not in tried
-            and p.may_take_work
+            and p.accepts_statements
             and not p.is_unreachable
         ]
 
@@ -266,7 +272,7 @@
         fut = self.send(job, pool, pooled_link, floor)
         limit = job.deadline - started_at
         try:
-            reply: _links.Reply = yield decisions.within(
+            reply: _links.Reply = yield decisions.with_timeout(
                 self._clock, limit, fut
             )
         except decisions.TimeoutExpiredError as exc:
@@ -277,7 +283,7 @@
         except _links.LinkLostError as exc:
             pool.discard(pooled_link)
             lost = decisions.ANSWER_LOST
-            reason = lost if exc.handed else decisions.NO_CONNECTION
+            reason = lost if exc.was_sent else decisions.NO_CONNECTION
             raise decisions.RequestFailedError(reason, str(exc)) from exc
         pool.note_heard(pooled_link, self._clock.now() - started_at)
         pool.give_back(pooled_link, reply)
@@ -302,6 +308,6 @@
         if reply.reason is decisions.UNKNOWN_PREPARED:
             return False
         until = job.retry_until
-        if job.group.is_changing:
+        if job.group.is_primary_changing:
             until = job.hold_end(self._policy)
         return self._clock.now() < until
--- a/packages/proxy/src/ferry_proxy/_jobs.py
+++ b/packages/proxy/src/ferry_proxy/_jobs.py
@@ -38,7 +38,9 @@
     def hold_end(self, policy: _policy.Policy) -> float:
         """Returns until when it may wait for a member, in clock seconds."""
         group = self.group
-        return self.hold_until(policy, group.is_changing, group.settled_at)
+        return self.hold_until(
+            policy, group.is_primary_changing, group.leader_found_at
+        )
 
     def note_dispatched(self, member: str, now: float) -> None:
         """Takes in that it goes to a member now."""
--- a/packages/proxy/src/ferry_proxy/_rate_limiter.py
+++ b/packages/proxy/src/ferry_proxy/_rate_limiter.py
@@ -331,7 +331,7 @@
         """Requests tokens from an owner; returns None if there is no reply."""
         fut = owner.call(AllowanceRequest(team, is_passed_on))
         try:
-            reply: object = yield decisions.within(
+            reply: object = yield decisions.with_timeout(
                 self._ctx.clock, REQUEST_TIMEOUT_S, fut
             )
         except (decisions.TimeoutExpiredError, _peers.PeerLostError) as exc:
--- a/packages/proxy/src/ferry_proxy/_requests.py
+++ b/packages/proxy/src/ferry_proxy/_requests.py
@@ -104,8 +104,8 @@
     def hold_until(
         self,
         policy: _policy.Policy,
-        is_changing: bool,
-        settled_at: float = float("-inf"),
+        is_primary_changing: bool,
+        leader_found_at: float = float("-inf"),
     ) -> float:
         """Returns until when it may wait for a member that can run it.
 
@@ -115,8 +115,8 @@
 
         Args:
             policy: The tunables.
-            is_changing: Whether the primary is being changed.
-            settled_at: When the last change ended, in the clock's seconds.
+            is_primary_changing: Whether the primary is being changed.
+            leader_found_at: When the last change ended, in the clock's seconds.
                 Requests held during a change all run right after it, and all
                 nodes send theirs to the same member. These may wait for the
                 target latency from that time on.
@@ -124,9 +124,9 @@
         longest = self.arrived + self.route.timeout_s * min(
             1.0, policy.failover_hold_share
         )
-        if is_changing:
+        if is_primary_changing:
             return longest
         usual = self.arrived + self.route.target_s * policy.hold_share
-        if settled_at < self.arrived:
+        if leader_found_at < self.arrived:
             return min(longest, usual)
-        return min(longest, settled_at + self.route.target_s)
+        return min(longest, leader_found_at + self.route.target_s)
--- a/packages/proxy/src/ferry_proxy/_transactions.py
+++ b/packages/proxy/src/ferry_proxy/_transactions.py
@@ -238,14 +238,14 @@
         if not may_be_committed:
             self._close_if_unresponsive(pool, pooled_link, fut)
         try:
-            reply: _links.Reply = yield decisions.within(
+            reply: _links.Reply = yield decisions.with_timeout(
                 self._clock, limit, fut
             )
         except decisions.TimeoutExpiredError as exc:
             pool.discard(pooled_link)
             raise decisions.RequestFailedError(lost, "no answer") from exc
         except _links.LinkLostError as exc:
-            reason = lost if exc.handed else decisions.TRANSACTION_LOST
+            reason = lost if exc.was_sent else decisions.TRANSACTION_LOST
             raise decisions.RequestFailedError(reason, str(exc)) from exc
         pool.note_heard(pooled_link, self._clock.now() - started_at)
         return reply
@@ -265,9 +265,9 @@
         def check() -> None:
             if fut.done():
                 return
-            if pool.contact.is_quiet:
+            if pool.contact.is_unresponsive:
                 pool.discard(pooled_link)
             else:
                 self._clock.after(CONTACT_CHECK_INTERVAL_S, check)
 
-        self._clock.after(pool.contact.patience_s, check)
+        self._clock.after(pool.contact.max_reply_s, check)
--- a/packages/proxy/src/ferry_proxy/tests/test_overload.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_overload.py
@@ -118,7 +118,7 @@
     lab.run(2.0)
     assert len(lab.served("r")) == 100
     # Each replica may be asked again every 0.1 s, by two reads at once.
-    assert lab.cluster.refused_behind <= 40
+    assert lab.cluster.behind_rejections <= 40
 
 
 def test_replicas_run_the_reads_again_once_they_have_caught_up():
