--- a/packages/proxy/src/ferry_proxy/_forwarder.py
+++ b/packages/proxy/src/ferry_proxy/_forwarder.py
@@ -28,18 +28,18 @@
 
     services: frozenset[str]
     missed: frozenset[str]
-    held: int
+    open_transactions: int
 
     @property
     def closed(self) -> bool:
         """Whether the stream has ended."""
 
     @property
-    def owed_s(self) -> float:
+    def unresponsive_s(self) -> float:
         """Seconds since the peer was heard, while it owes an answer."""
 
     @property
-    def waiting(self) -> int:
+    def pending_calls(self) -> int:
         """Questions to the peer that have no answer yet."""
 
 
@@ -143,7 +143,7 @@
             well or heard,
             key=lambda s: (
                 s.peer not in near,
-                s.waiting,
+                s.pending_calls,
                 decisions.rendezvous_score(self._own.name, s.peer),
             ),
         )
@@ -184,4 +184,4 @@
 
     def _is_heard(self, stream: Stream) -> bool:
         heard = stream.silence_s < self.policy.isolated_s
-        return heard and stream.owed_s < QUIET_S
+        return heard and stream.unresponsive_s < QUIET_S
--- a/packages/proxy/src/ferry_proxy/_forwarding.py
+++ b/packages/proxy/src/ferry_proxy/_forwarding.py
@@ -185,10 +185,10 @@
         PeerLostError: The peer fell silent; a read may be asked elsewhere.
     """
     while not fut.done():
-        left_s = max(LEAST_PAUSE_S, _forwarder.QUIET_S - stream.owed_s)
+        left_s = max(LEAST_PAUSE_S, _forwarder.QUIET_S - stream.unresponsive_s)
         pause = decisions.sleep(clock, left_s)
         yield decisions.either(decisions.settled(fut), pause)
-        if not fut.done() and stream.owed_s >= _forwarder.QUIET_S:
+        if not fut.done() and stream.unresponsive_s >= _forwarder.QUIET_S:
             raise _peers.PeerLostError(f"{stream.peer} is silent")
     return fut.result()
 
@@ -261,7 +261,7 @@
     def _release(self) -> _forwarder.Stream | None:
         stream, self._stream = self._stream, None
         if stream is not None:
-            stream.held -= 1
+            stream.open_transactions -= 1
         return stream
 
     def _open(
@@ -273,7 +273,7 @@
             stream = yield from search.next()
             self._number = next(_numbers)
             self._stream = stream
-            stream.held += 1
+            stream.open_transactions += 1
             reply = yield from self._send(request, stream, True)
             if not search.may_go_on(reply):
                 return reply
--- a/packages/proxy/src/ferry_proxy/_lost_nodes.py
+++ b/packages/proxy/src/ferry_proxy/_lost_nodes.py
@@ -30,7 +30,7 @@
         store: _store.Store,
         catalogue: _catalogue.Catalogue,
         follower: _followers.Follower,
-        mesh: _mesh.Reached,
+        mesh: _mesh.Connectivity,
     ) -> None:
         self._clock = clock
         self._own = own
--- a/packages/proxy/src/ferry_proxy/_promotions.py
+++ b/packages/proxy/src/ferry_proxy/_promotions.py
@@ -79,7 +79,7 @@
         self._stopped = False
         self._not_before = float("-inf")
         self._patience_s = ctx.policy.promote_wait_s
-        self._stall = _fencing.StallWatch()
+        self._stall = _fencing.StallDetector()
         self._claims = _claims.Claims(
             ctx.clock, ctx.policy, ctx.node, ctx.store, ctx.catalogue, group
         )
--- a/packages/proxy/src/ferry_proxy/_proxy.py
+++ b/packages/proxy/src/ferry_proxy/_proxy.py
@@ -16,11 +16,11 @@
 from ferry_proxy import _lost_nodes
 from ferry_proxy import _mesh
 from ferry_proxy import _metrics
-from ferry_proxy import _peer_desk
+from ferry_proxy import _peer_handler
 from ferry_proxy import _peer_messages
 from ferry_proxy import _planned_stop
 from ferry_proxy import _policy
-from ferry_proxy import _reach
+from ferry_proxy import _reachability
 from ferry_proxy import _readiness
 from ferry_proxy import _records
 from ferry_proxy import _refusals
@@ -152,10 +152,10 @@
             self._want_peers,
             lambda: self.catalogue.homes,
         )
-        self.reach = _reach.Reach(
+        self.reach = _reachability.Reachability(
             loop, self._policy, self.mesh, self._groups, self._forwarder
         )
-        self._desk = _peer_desk.PeerDesk(
+        self._desk = _peer_handler.PeerMessageHandler(
             loop,
             self.catalogue,
             self._follower,
@@ -312,7 +312,7 @@
 
     def _is_best(self, service: str, team: str) -> bool:
         """Whether no peer is better for a group that this node serves."""
-        if self._groups.serves_well(service):
+        if self._groups.can_serve(service):
             return not self._forwarder.is_elsewhere(service, team)
         return not self._forwarder.is_served(service)
 
--- a/packages/proxy/src/ferry_proxy/_registrar.py
+++ b/packages/proxy/src/ferry_proxy/_registrar.py
@@ -40,7 +40,7 @@
         """The version of the configuration that the peer has; 0 for none."""
 
     @property
-    def owed_s(self) -> float:
+    def unresponsive_s(self) -> float:
         """Seconds since the peer was heard, while it owes an answer."""
 
 
@@ -152,7 +152,7 @@
         fut = stream.call(question)
         try:
             while not fut.done():
-                if stream.owed_s >= SILENT_S:
+                if stream.unresponsive_s >= SILENT_S:
                     raise _peers.PeerLostError(f"{stream.peer} is silent")
                 pause = decisions.sleep(self._clock, LOOK_S)
                 yield decisions.either(decisions.settled(fut), pause)
--- a/packages/proxy/src/ferry_proxy/_served_groups.py
+++ b/packages/proxy/src/ferry_proxy/_served_groups.py
@@ -62,7 +62,7 @@
 
 
 @attrs.define(slots=True, eq=False)
-class Served:
+class ServedGroup:
     """A group that this node serves, and what works on it.
 
     Attributes:
@@ -94,7 +94,7 @@
     def __init__(self, ctx: GroupsContext) -> None:
         self._ctx = ctx
         self._executor = _execution.Executor(ctx.clock, ctx.policy)
-        self._served: dict[str, Served] = {}
+        self._served: dict[str, ServedGroup] = {}
         self._plans: dict[str, _serving_plan.ServingPlan] = {}
         self._planned: _PlanInputs | None = None
         self._planner: _serving_plan.Planner | None = None
@@ -116,18 +116,18 @@
         """Whether a change of primary is under way here."""
         return any(s.promoter.is_busy for s in self._served.values())
 
-    def find(self, service: str) -> Served | None:
+    def find(self, service: str) -> ServedGroup | None:
         """Returns a group that this node serves."""
         return self._served.get(service)
 
-    def serves_well(self, service: str) -> bool:
+    def can_serve(self, service: str) -> bool:
         """Whether this node reaches a primary that is known to lead."""
         served = self._served.get(service)
         if served is None or self._ctx.is_stopping():
             return False
         if served.retires_at is not None:
             return False
-        return is_well(served.group, self._ctx.policy.isolated_s)
+        return has_confirmed_leader(served.group, self._ctx.policy.isolated_s)
 
     def peers(self) -> list[_records.NodeEntry]:
         """Returns the nodes that a serving node speaks to.
@@ -215,17 +215,17 @@
             group.refresh()
         served.promoter.check()
 
-    def _add(self, service: _configuration.Service) -> Served:
+    def _add(self, service: _configuration.Service) -> ServedGroup:
         ctx = self._ctx
         name = service.name
         group = _groups.Group(
             ctx.clock, service, ctx.own.data_centre, ctx.connector, ctx.policy
         )
-        mesh = _peers.Among(ctx.mesh, lambda: self._names(name))
+        mesh = _peers.PeerSubset(ctx.mesh, lambda: self._names(name))
         promoter = _promotions.Promoter(
             self._promoter_context(name, mesh), group
         )
-        served = Served(
+        served = ServedGroup(
             group,
             promoter,
             _surveys.Surveys(ctx.clock, ctx.own.name, mesh, ctx.policy.probe_s),
@@ -338,7 +338,7 @@
             served.group.set_members({}, 0)
 
 
-def is_well(group: _groups.Group, limit_s: float) -> bool:
+def has_confirmed_leader(group: _groups.Group, limit_s: float) -> bool:
     """Whether a group's primary is reached and known to lead.
 
     Args:
@@ -351,6 +351,6 @@
     return group.floor_age_s < limit_s
 
 
-def _open_links(served: Served | None) -> float:
+def _open_links(served: ServedGroup | None) -> float:
     pools = served.group.pools.values() if served else ()
     return float(sum(p.size for p in pools))
--- a/packages/proxy/src/ferry_proxy/tests/test_followers.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_followers.py
@@ -31,7 +31,7 @@
     theirs: _catalogue.Catalogue
     store_seen: float = float("-inf")
     silence_s: float = 0.0
-    owed_s: float = 0.0
+    unresponsive_s: float = 0.0
     calls: int = 0
     delay_s: float = 0.0
     withholds: bool = False
@@ -314,7 +314,7 @@
     second = FakeStream("n-second", lab.reader.copy)
     lab.other.streams.append(second)
     lab.stream.delay_s = 60.0
-    lab.stream.owed_s = 0.5
+    lab.stream.unresponsive_s = 0.5
     lab.store.put("members/b", b"orders")
     lab.clock.advance(1.0)
     assert "b" in lab.other.copy.members
@@ -324,7 +324,7 @@
 def test_a_node_that_stays_behind_reads_the_store_itself():
     lab = Lab()
     lab.stream.delay_s = 60.0
-    lab.stream.owed_s = 0.0  # It shows life, and yet nothing is whole.
+    lab.stream.unresponsive_s = 0.0  # It shows life, and yet nothing is whole.
     lab.other.store.calls.clear()
     lab.store.put("members/b", b"orders")
     lab.clock.advance(1.8)
--- a/packages/proxy/src/ferry_proxy/tests/test_forwarding.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_forwarding.py
@@ -33,15 +33,15 @@
         self.peer = peer
         self.services = frozenset({"orders"})
         self.missed: frozenset[str] = frozenset()
-        self.held = 0
+        self.open_transactions = 0
         self.closed = False
         self.silence_s = 0.0
-        self.owed_s = 0.0
+        self.unresponsive_s = 0.0
         self.mute = False
         self.sent: list[object] = []
 
     @property
-    def waiting(self) -> int:
+    def pending_calls(self) -> int:
         return len(self._calls)
 
     def call(self, body):
@@ -86,9 +86,9 @@
             self._clock.after(NET_S, lambda: self._take(number, reply))
 
     def _take(self, number, reply) -> None:
-        waiting = self._calls.pop(number, None)
-        if waiting is not None:
-            waiting.set_result(reply)
+        pending_calls = self._calls.pop(number, None)
+        if pending_calls is not None:
+            pending_calls.set_result(reply)
 
 
 def coded(body):
@@ -191,7 +191,7 @@
     lab.run(0.5)
     assert lab.open_links() == 0
     assert all(s.is_idle for s in lab.servings.values())
-    assert [s.held for s in lab.mesh.by_name.values()] == [0, 0]
+    assert [s.open_transactions for s in lab.mesh.by_name.values()] == [0, 0]
 
 
 def test_values_and_shapes_go_with_the_statement():
@@ -298,7 +298,7 @@
     lab.near.mute = True
     fut = lab.session().run(fakes.statement("READ x"))
     lab.run(0.1)
-    lab.near.owed_s = 1.0
+    lab.near.unresponsive_s = 1.0
     lab.run(0.25)
     assert fut.result().reason is None
     assert fut.result().proof.startswith("proof")
@@ -315,7 +315,7 @@
 
 def test_a_node_that_owes_answers_and_is_silent_gets_no_more():
     lab = EntryLab()
-    lab.near.owed_s = 1.0
+    lab.near.unresponsive_s = 1.0
     assert lab.results(lab.session(), "WRITE x 1") == [""]
     assert (len(lab.near.sent), len(lab.far.sent)) == (0, 1)
 
@@ -416,7 +416,7 @@
     lab = EntryLab()
     del lab.mesh.by_name["far"]
     lab.reachable.add("far")
-    lab.near.owed_s = lab.near.silence_s = 0.4
+    lab.near.unresponsive_s = lab.near.silence_s = 0.4
     assert lab.results(lab.session(), *texts) == expected
     assert lab.seeks == 1
     assert not lab.near.sent
@@ -429,7 +429,7 @@
     lab.near.mute = True
     fut = lab.session().run(fakes.statement("READ x"))
     lab.run(0.1)
-    lab.near.owed_s = lab.near.silence_s = 0.35
+    lab.near.unresponsive_s = lab.near.silence_s = 0.35
     lab.run(0.25)
     assert fut.result().reason is None
 
@@ -440,7 +440,7 @@
     lab.near.mute = True
     fut = lab.session().run(fakes.statement("READ x"))
     lab.run(0.1)
-    lab.near.owed_s = lab.near.silence_s = 0.35
+    lab.near.unresponsive_s = lab.near.silence_s = 0.35
     lab.run(0.5)
     assert fut.result().reason is decisions.READ_CUT
     assert lab.seeks == 1
--- a/packages/proxy/src/ferry_proxy/tests/test_promotions.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_promotions.py
@@ -10,7 +10,7 @@
 from ferry_proxy import _peer_messages
 from ferry_proxy import _peers
 from ferry_proxy import _policy
-from ferry_proxy import _reach
+from ferry_proxy import _reachability
 from ferry_proxy import _records
 from ferry_proxy import _surveys
 from ferry_proxy.tests import fakes
@@ -162,7 +162,7 @@
 
 
 def test_stall_is_seen_only_while_no_replica_receives():
-    watch = _fencing.StallWatch()
+    watch = _fencing.StallDetector()
     watch.take(report(PRIMARY, 7, 0.0), [report(REPLICA, 5, 0.0)], 0.0)
     watch.take(report(PRIMARY, 8, 0.5), [report(REPLICA, 5, 0.5)], 0.5)
     assert watch.stalled_s == pytest.approx(0.5)
@@ -392,7 +392,10 @@
         lab.run(0.1)
         if peer_hears:
             lab.group.pools["a"].contact.reported = lab.clock.now()
-    assert _reach.is_bypassed(lab.group, POLICY.isolated_s) is expected
+    assert (
+        _reachability.others_reach_primary(lab.group, POLICY.isolated_s)
+        is expected
+    )
 
 
 def test_a_primary_that_others_chose_and_this_node_cannot_reach():
@@ -400,11 +403,11 @@
     for name in "abc":
         lab.cluster.members[name].dark = True
     lab.run(2.0)
-    assert not _reach.is_bypassed(lab.group, POLICY.isolated_s)
+    assert not _reachability.others_reach_primary(lab.group, POLICY.isolated_s)
     lab.cluster.members["b"].role = PRIMARY
     lab.group.set_members(lab.cluster.entries(), lab.limit)
     lab.run(1.5)
-    assert _reach.is_bypassed(lab.group, POLICY.isolated_s)
+    assert _reachability.others_reach_primary(lab.group, POLICY.isolated_s)
 
 
 @pytest.mark.parametrize(
@@ -417,7 +420,10 @@
     for name in dark:
         lab.cluster.members[name].dark = True
     lab.run(3.0)
-    assert _reach.is_severed(lab.group, POLICY.isolated_s) is expected
+    assert (
+        _reachability.reaches_primary_only(lab.group, POLICY.isolated_s)
+        is expected
+    )
 
 
 def test_a_node_asks_itself_until_its_trouble_is_over():
