--- a/packages/proxy/src/ferry_proxy/_claims.py
+++ b/packages/proxy/src/ferry_proxy/_claims.py
@@ -1,8 +1,8 @@
 """Claims in the store: the right of one node to change a group's primary.
 
-A claim gives the fencing token. Its holder acts for a bounded boot time, and
-others wait for longer than that before they take it over, so that nothing of
-the holder's is under way any more.
+A claim provides the fencing token. Its holder acts on it only for a limited
+time of the boot clock. Other nodes wait for longer than that before they take
+a claim over, so that no action of the holder is under way any more.
 """
 
 import attrs
@@ -19,7 +19,7 @@
 
 
 class Claims:
-    """One node's claims on one group."""
+    """The claims of one node for one group."""
 
     def __init__(
         self,
@@ -38,17 +38,20 @@
         self._group = group
 
     def take(self) -> "decisions.Flow[_records.HeldClaim]":
-        """Takes the right to act.
+        """Writes a claim to the store.
 
         Raises:
-            ChangeAbandonedError: Another node has it.
+            ChangeAbandonedError: Another node holds the claim, or the store
+                was restored a short while ago.
         """
         service = self._group.service.name
         era = self._catalogue.revision.era
-        known = self._catalogue.claims.get(service)
+        previous = self._catalogue.claims.get(service)
         now = self._clock.boot_now()
-        self._check_free(known, now)
-        token = known.claim.token + 1 if known else _records.first_token(era)
+        self._require_unclaimed(previous, now)
+        token = (
+            previous.claim.token + 1 if previous else _records.first_token(era)
+        )
         claim = _records.Claim(self._node, token)
         key = _records.claim_key(era, service)
         item = yield self._store.put_if(
@@ -57,65 +60,70 @@
         if item is None:
             raise _fences.ChangeAbandonedError("another node was faster")
         self._catalogue.take((item,), "own claim")
-        if known is None:
+        if previous is None:
             self._remove_outdated()
         return _records.HeldClaim(claim, item.revision, now)
 
     def is_valid(self, held: _records.HeldClaim) -> bool:
         """Whether this node may still act on a claim.
 
-        One of an earlier era is lost, and the store may give it to another.
+        The store has lost a claim of an earlier era and may give it to another
+        node.
         """
         age_s = self._clock.boot_now() - held.seen_at
         is_lost = held.revision.era != self._catalogue.revision.era
         return age_s < self._policy.claim_valid_s and not is_lost
 
-    def finish(self, held: _records.HeldClaim) -> "decisions.Flow[None]":
-        """Lets the next claim follow at once."""
+    def release(self, held: _records.HeldClaim) -> "decisions.Flow[None]":
+        """Marks a claim as done, so that the next one need not wait."""
         done = attrs.evolve(held.claim, done=True)
         service = self._group.service.name
         key = _records.claim_key(held.revision.era, service)
         try:
             item = yield self._store.put_if(key, done.encode(), held.revision)
         except _store.StoreUnavailableError as exc:
-            # The next claim waits until this one is too old to act on.
+            # The next claim has to wait until this one is too old to act on.
             token = held.claim.token
             _fences.log_step(self._group, "unreleased", token, "", str(exc))
             return
         if item is not None:
             self._catalogue.take((item,), "own claim")
 
-    def _check_free(self, known: _records.HeldClaim | None, now: float) -> None:
-        """Checks that nobody else may be acting.
+    def _require_unclaimed(
+        self, previous: _records.HeldClaim | None, now: float
+    ) -> None:
+        """Checks that no other node may be acting on a claim.
 
         Raises:
-            ChangeAbandonedError: Another node may.
+            ChangeAbandonedError: Another node may be.
         """
-        if known is not None and self._is_taken(known, now):
+        if previous is not None and self._is_held_by_another(previous, now):
             self._group.expect_change()
             raise _fences.ChangeAbandonedError("another node holds the claim")
-        # The holder of a claim that the store has lost may not have heard of
-        # it; members that the copy lacks have written again meanwhile, too.
+        # The holder of a claim that the store has lost may not know of the
+        # loss yet. The wait also gives members that the restored copy lacks
+        # the time to register again.
         if now - self._catalogue.era_seen_at < self._policy.claim_takeover_s:
             raise _fences.ChangeAbandonedError("the store has just come back")
 
     def _remove_outdated(self) -> None:
-        """Removes the claims of eras that are over; nobody waits for it."""
+        """Removes the claims of earlier eras in the background."""
         for item in self._catalogue.outdated_claims(self._group.service.name):
             fut = self._store.remove_if(item.key, item.revision)
-            fut.add_done_callback(self._note_removed)
+            fut.add_done_callback(self._on_removed)
 
-    def _note_removed(self, fut: "decisions.Future[bool]") -> None:
+    def _on_removed(self, fut: "decisions.Future[bool]") -> None:
         exc = fut.exception()
-        if exc is not None:  # It stays, and means nothing.
+        if exc is not None:
+            # The claim stays in the store, where it has no effect.
             _events.emit(_events.DependencyLost("store", str(exc)))
 
-    def _is_taken(self, held: _records.HeldClaim, now: float) -> bool:
+    def _is_held_by_another(self, held: _records.HeldClaim, now: float) -> bool:
         """Whether another node may be acting on a claim.
 
-        A claim of this node's own name is of an earlier try, or of a process
-        that is gone; nothing of it is under way any more.
+        A claim under this node's own name is from an earlier attempt or an
+        earlier process, and no action on it is under way any more.
         """
         is_recent = now - held.seen_at < self._policy.claim_takeover_s
-        is_anothers = held.claim.holder != self._node
-        return is_recent and is_anothers and not held.claim.done
+        is_other_holder = held.claim.holder != self._node
+        return is_recent and is_other_holder and not held.claim.done
--- a/packages/proxy/src/ferry_proxy/_fences.py
+++ b/packages/proxy/src/ferry_proxy/_fences.py
@@ -1,7 +1,7 @@
-"""Stopping the members of a group before another one is promoted.
+"""Fencing of the members of a group before another one is promoted.
 
-The old primary is asked to follow, and enough replicas are paused that no
-commit of its term can be acknowledged any more, whether it listens or not.
+The old primary is ordered to step down. Enough replicas are paused that no
+commit of its term can be acknowledged any more, even if it does not obey.
 """
 
 import ferry_decisions as decisions
@@ -18,24 +18,32 @@
 
 
 class ChangeAbandonedError(Exception):
-    """A change of primary cannot go on; another try may follow."""
+    """A change of primary was given up; another attempt may follow."""
 
 
 class VetoedError(ChangeAbandonedError):
-    """A peer's word shows that only this node lost the primary."""
+    """A peer's opinion shows that only this node lost the primary."""
 
 
 def log_step(
     group: _groups.Group, step: str, token: int, member: str, detail: str
 ) -> None:
-    """Logs a step of a change of primary."""
+    """Emits the event for a step of a change of primary.
+
+    Args:
+        group: The group.
+        step: The step's name.
+        token: The fencing token; 0 if there is none.
+        member: The member that the step concerns; empty for none.
+        detail: Further details.
+    """
     _events.emit(
         _events.PromotionStep(group.service.name, step, token, member, detail)
     )
 
 
 class Fence:
-    """Stops one group's members, and lets them go on."""
+    """Pauses the members of one group, and resumes them."""
 
     def __init__(
         self,
@@ -48,39 +56,52 @@
         self._store = store
         self._catalogue = catalogue
         self._group = group
-        self._raised_at = clock.now()
+        self._fence_started_at = clock.now()
 
     def raise_fence(
         self, cause: _fencing.Cause, token: int
     ) -> "decisions.Flow[dict[str, _members.Report]]":
-        """Stops the old primary and pauses its replicas.
+        """Demotes the old primary and pauses its replicas.
+
+        Args:
+            cause: Why the primary is replaced.
+            token: The fencing token of the claim.
+
+        Returns:
+            The reports of the paused members, by id.
 
         Raises:
-            ChangeAbandonedError: Too few of them could be reached.
+            ChangeAbandonedError: Too few replicas could be paused, or they may
+                lack acknowledged commits.
         """
         group = self._group
-        old = group.leader.member if group.leader else group.last_leader
-        yield from self._list_members()
-        self._raised_at = self._clock.now()
-        others = {n: p for n, p in group.pools.items() if n != old}
-        # Members may go on serving others: nothing stops unless enough can be.
-        yield from self._check_reachable(others)
-        self._check_leader(others)
+        old_primary = group.leader.member if group.leader else group.last_leader
+        yield from self._refresh_members()
+        self._fence_started_at = self._clock.now()
+        other_members = {
+            n: p for n, p in group.pools.items() if n != old_primary
+        }
+        # The members may still serve other nodes, so none of them is paused
+        # unless enough of them can be.
+        yield from self._require_reachable(other_members)
+        self._adopt_current_leader(other_members)
         term = self._next_term()
         if cause is _fencing.Cause.LEAVING:
-            yield from self._step_down(old, term)
+            yield from self._demote(old_primary, term)
         reports: dict[str, _members.Report] = {}
         futs = [
             decisions.start(self._pause(p, term, reports))
-            for p in others.values()
+            for p in other_members.values()
         ]
         yield decisions.settle_all(futs, lambda _: False)
-        unsure = yield from self._pause_vanished(old, term)
+        unsure = yield from self._pause_removed(old_primary, term)
         needed = _fencing.fence_needed(
-            len(others), unsure, group.service.sync_replicas
+            len(other_members), unsure, group.service.sync_replicas
+        )
+        detail = (
+            f"{len(reports)} of {len(other_members)} paused, {needed} needed"
         )
-        detail = f"{len(reports)} of {len(others)} paused, {needed} needed"
-        log_step(self._group, "fenced", token, old, detail)
+        log_step(self._group, "fenced", token, old_primary, detail)
         if len(reports) < needed or not reports:
             yield from self.resume(reports)
             raise ChangeAbandonedError(detail)
@@ -88,16 +109,16 @@
             yield from self.resume(reports)
             raise ChangeAbandonedError("a member that began again held more")
         if cause is not _fencing.Cause.LEAVING:
-            decisions.start(self._step_down(old, term))
+            decisions.start(self._demote(old_primary, term))
         return reports
 
     def _may_lack_commits(self, reports: dict[str, _members.Report]) -> bool:
-        """Whether a commit may be held by the old primary alone.
+        """Whether the old primary alone may hold an acknowledged commit.
 
-        A replica that began again does not hold what it acknowledged in its
-        earlier life; the others may have been behind it. Until the old primary
-        returns, or the others are known to hold as much as it did, nobody is
-        promoted over it, for as long as the life has ended lately.
+        A replica that restarted has lost what it acknowledged before, and the
+        other replicas may have been behind it. If one restarted recently, no
+        member is promoted until the old primary returns or a paused replica
+        is known to have received everything up to the newest floor.
         """
         newest = self._group.floors.newest
         if not self._group.renewed or newest is None:
@@ -105,38 +126,45 @@
         return all(r.received < newest.floor for r in reports.values())
 
     def is_broken(self, reports: dict[str, _members.Report]) -> bool:
-        """Whether a member that was paused has begun again since.
+        """Whether a paused member has restarted since.
 
-        It is paused no longer, and the old primary may use it.
+        Such a member is no longer paused, so the old primary may use it to
+        acknowledge commits.
 
         Args:
-            reports: What the paused members reported, by id.
+            reports: The reports of the paused members, by id.
         """
-        ended = self._group.lives_ended
+        restarted = self._group.lives_ended
         return any(
-            ended.get(name, float("-inf")) >= self._raised_at
+            restarted.get(name, float("-inf")) >= self._fence_started_at
             for name in reports
         )
 
-    def _check_reachable(
-        self, others: "dict[str, _pools.Pool]"
+    def _require_reachable(
+        self, other_members: "dict[str, _pools.Pool]"
     ) -> "decisions.Flow[None]":
         futs = [
             decisions.start(self._group.ask(p, _links.Status()))
-            for p in others.values()
+            for p in other_members.values()
         ]
         settled = yield decisions.settle_all(futs, lambda _: False)
         reached = sum(s.failure is None for s in settled)
         needed = _fencing.fence_needed(
-            len(others), 0, self._group.service.sync_replicas
+            len(other_members), 0, self._group.service.sync_replicas
         )
         if reached < needed:
             raise ChangeAbandonedError(f"{reached} reached, {needed} needed")
 
-    def _check_leader(self, others: "dict[str, _pools.Pool]") -> None:
-        """Follows a primary that this node had not heard of."""
+    def _adopt_current_leader(
+        self, other_members: "dict[str, _pools.Pool]"
+    ) -> None:
+        """Checks that no member leads already in a newer term.
+
+        Raises:
+            ChangeAbandonedError: One does. The group now follows it.
+        """
         group = self._group
-        for name in others:
+        for name in other_members:
             report = group.last_report(name)
             if report is None or report.role is not _members.Role.PRIMARY:
                 continue
@@ -144,19 +172,24 @@
                 group.note_leader(_members.Leader(name, report.term))
                 raise ChangeAbandonedError(f"{name} leads already")
 
-    def _step_down(self, old: str, term: int) -> "decisions.Flow[None]":
-        """Asks the old primary to follow; a silent one is fenced anyway."""
-        pool = self._group.pools.get(old)
+    def _demote(self, old_primary: str, term: int) -> "decisions.Flow[None]":
+        """Orders the old primary to step down.
+
+        A failure is ignored, as the paused replicas fence it anyway.
+        """
+        pool = self._group.pools.get(old_primary)
         if pool is None:
             return
         asked = decisions.start(self._group.ask(pool, _links.StepDown(term)))
         yield decisions.settled(asked)
 
-    def _list_members(self) -> "decisions.Flow[None]":
-        """Reads the list anew: an unknown replica could acknowledge.
+    def _refresh_members(self) -> "decisions.Flow[None]":
+        """Reads the members from the store again.
+
+        A replica that this node does not know could still acknowledge commits.
 
         Raises:
-            ChangeAbandonedError: The store came back from a copy, which may
+            ChangeAbandonedError: The store was restored from a copy, which may
                 lack a replica.
         """
         prefix = self._catalogue.member_prefix
@@ -186,45 +219,52 @@
         except decisions.RequestFailedError:
             report = yield from group.ask(pool, _links.Pause(term))
         if report.role is _members.Role.PRIMARY and report.term < term:
-            # A primary of an earlier term that was cut off until now.
+            # This is the primary of an earlier term, cut off until now.
             yield from group.ask(pool, _links.StepDown(term))
             report = yield from group.ask(pool, _links.Pause(term))
         is_paused = report.paused_term >= term
         if report.role is _members.Role.REPLICA and is_paused:
             reports[pool.member.id] = report
 
-    def _pause_vanished(self, old: str, term: int) -> "decisions.Flow[int]":
-        """Pauses members that are not listed any more but may still live.
+    def _pause_removed(
+        self, old_primary: str, term: int
+    ) -> "decisions.Flow[int]":
+        """Pauses members that are no longer listed but may still be running.
 
-        One that was leaving goes on for a while after it is unlisted; once it
-        is silent, it has left.
+        A member that was leaving runs on for a while after its removal from
+        the list. Once it does not answer, it has left.
 
         Returns:
-            How many of them could neither be paused nor shown to be gone.
+            How many of them could neither be paused nor shown to have ended.
         """
         now = self._clock.now()
         unsure = 0
-        for name, vanished in list(self._group.vanished.items()):
-            if name == old or now - vanished.at > _fencing.VANISHED_S:
+        for name, removed in list(self._group.vanished.items()):
+            if (
+                name == old_primary
+                or now - removed.at > _fencing.MAX_REMOVED_MEMBER_S
+            ):
                 continue
             reports: dict[str, _members.Report] = {}
-            pool = self._group.open_pool(vanished.member)
+            pool = self._group.open_pool(removed.member)
             paused = decisions.start(self._pause(pool, term, reports))
             yield decisions.settled(paused)
             is_gone = pool.is_refused
             pool.close()
-            has_left = is_gone or vanished.member.draining
-            if not reports and not has_left:
+            has_departed = is_gone or removed.member.draining
+            if not reports and not has_departed:
                 unsure += 1
         return unsure
 
     def resume(
         self, reports: dict[str, _members.Report]
     ) -> "decisions.Flow[None]":
-        """Lets paused members receive again; silent ones stay paused.
+        """Lets paused members receive commits again.
+
+        Members that cannot be reached stay paused.
 
         Args:
-            reports: What the paused members reported, by id.
+            reports: The reports of the paused members, by id.
         """
         futs = [
             decisions.start(self._group.ask(pool, _links.Resume()))
--- a/packages/proxy/src/ferry_proxy/_fencing.py
+++ b/packages/proxy/src/ferry_proxy/_fencing.py
@@ -1,7 +1,8 @@
-"""Decisions on a change of primary: when, who must be stopped, who follows.
+"""Decisions on a change of primary, as pure functions.
 
-Pure functions. They answer crashes, partitions and planned departures of a
-primary; how patient each is stands in `Policy`.
+They decide when a primary is replaced, how many members must be paused first,
+and which member is promoted. They cover crashes, partitions and planned
+departures of a primary; most time limits are in `Policy`.
 """
 
 import enum
@@ -14,14 +15,28 @@
 from ferry_proxy import _peer_messages
 from ferry_proxy import _policy
 
-MISSING_S = 1.2  # Members that start together are listed within a heartbeat.
-REFUSED_S = 0.25  # A crashed process refuses at once; one retry confirms it.
-VANISHED_S = 30.0  # A member that vanished may live on, cut off, for longer
-# than any partition that is known to have passed.
+# A group without a primary gets one after this time. Members that start
+# together are all listed within a heartbeat.
+MISSING_LEADER_S = 1.2
+# A primary whose VM has refused connections for this long is replaced. A
+# crashed process refuses at once, and one retry confirms it.
+REFUSED_PRIMARY_S = 0.25
+# A member that is no longer listed may still be running, cut off by a
+# partition. It is taken into account for this long, which is longer than any
+# known partition has lasted.
+MAX_REMOVED_MEMBER_S = 30.0
 
 
 class Cause(enum.Enum):
-    """Why a primary is to be replaced."""
+    """Why a primary is to be replaced.
+
+    Attributes:
+        SILENT: It does not answer.
+        REFUSED: Its VM refuses connections.
+        STALLED: No replica receives its commits.
+        LEAVING: It is draining before a planned departure.
+        MISSING: No primary is known.
+    """
 
     SILENT = "silent"
     REFUSED = "refused"
@@ -32,19 +47,20 @@
 
 @attrs.frozen(slots=True)
 class Evidence:
-    """What a node knows of a group's primary.
+    """What a node has observed of a group's primary.
 
     Attributes:
         has_leader: Whether a primary is known.
-        silence_s: Seconds since it was heard.
-        unanswered_s: For how long it has answered none of the questions that
-            were sent since.
-        refused_s: Seconds for which its machine has refused connections.
-        stalled_s: Seconds for which no replica received its newest commit.
-        leaderless_s: Seconds for which no primary has been known, and no
-            member has come or gone.
+        silence_s: Seconds since it last answered.
+        unanswered_s: Seconds for which requests sent since then have been
+            pending.
+        refused_s: Seconds for which its VM has refused connections.
+        stalled_s: Seconds for which no replica has received its newest commit.
+        leaderless_s: Seconds for which no primary has been known and no member
+            has joined or left.
         is_draining: Whether it is about to leave.
-        successors: Members that could lead: heard lately, not leaving.
+        successors: How many other members could be promoted: they answered
+            recently and are not leaving.
     """
 
     has_leader: bool
@@ -58,13 +74,13 @@
 
 
 def cause_of_change(evidence: Evidence, policy: _policy.Policy) -> Cause | None:
-    """Returns why the primary is to be replaced; None if it is not."""
+    """Returns why the primary is to be replaced, or None if it is not."""
     if evidence.successors == 0:
         return None
     if not evidence.has_leader:
-        missing = evidence.leaderless_s >= MISSING_S
+        missing = evidence.leaderless_s >= MISSING_LEADER_S
         return Cause.MISSING if missing else None
-    if evidence.refused_s >= REFUSED_S:
+    if evidence.refused_s >= REFUSED_PRIMARY_S:
         return Cause.REFUSED
     if evidence.silence_s >= policy.suspect_s:
         return Cause.SILENT
@@ -82,12 +98,12 @@
     opinions: list[_peer_messages.OpinionReply],
     policy: _policy.Policy,
 ) -> bool:
-    """Whether a peer's word shows that only this node lost the primary.
+    """Whether a peer's opinion shows that only this node lost the primary.
 
     Args:
-        cause: Why this node wants a change.
-        opinions: What each peer knows of its contact with the primary.
-        policy: The tunables.
+        cause: Why this node wants to replace the primary.
+        opinions: The peers' contacts with the primary.
+        policy: The tunable limits and intervals.
     """
     if cause not in (Cause.SILENT, Cause.REFUSED):
         return False
@@ -102,64 +118,75 @@
     """Returns how many members must be paused before a promotion.
 
     Args:
-        replicas: Members that are listed, without the old primary.
-        unsure: Members that went without leaving in order and may still
-            receive commits.
-        sync_replicas: How many replicas must receive a commit.
+        replicas: Listed members without the old primary.
+        unsure: Members that are no longer listed, did not leave in an orderly
+            way, and may still receive commits.
+        sync_replicas: How many replicas must receive a commit before it is
+            acknowledged.
     """
     return _freshness.fence_size(replicas + unsure, sync_replicas)
 
 
 class StallDetector:
-    """Finds a primary whose commits no replica receives any more."""
+    """Detects that no replica receives a primary's commits any more.
+
+    Attributes:
+        stalled_s: Seconds for which no replica has received the commit that
+            is waited for; 0 if there is no stall.
+    """
 
-    LATE_S = 0.25  # A replica asked this much later should have the commit.
+    # A replica that is asked this much later than the primary should have
+    # received the commit.
+    REPLICATION_DELAY_S = 0.25
 
     def __init__(self) -> None:
-        self._awaited: decisions.Position | None = None
-        self._since = 0.0
+        self._awaited_position: decisions.Position | None = None
+        self._awaited_since = 0.0
         self.stalled_s = 0.0
 
-    def take(
+    def observe(
         self,
         primary: _members.Report | None,
         replicas: list[_members.Report],
         now: float,
     ) -> None:
-        """Takes a round of reports in.
+        """Updates `stalled_s` from the reports of a status round.
 
         Args:
-            primary: The primary's own; None where it did not answer.
-            replicas: The others'.
-            now: Boot time, in seconds.
+            primary: The primary's report; None if it did not answer.
+            replicas: The replicas' reports.
+            now: The current boot time, in seconds.
         """
         for report in replicas:
-            awaited = self._awaited
-            if awaited is None or report.received >= awaited:
-                self._awaited = None
+            awaited_position = self._awaited_position
+            if awaited_position is None or report.received >= awaited_position:
+                self._awaited_position = None
                 self.stalled_s = 0.0
-            elif report.asked_at >= self._since + self.LATE_S:
-                self.stalled_s = now - self._since
-        if self._awaited is None and primary is not None:
-            self._awaited = primary.received
-            self._since = primary.asked_at
+            elif (
+                report.asked_at
+                >= self._awaited_since + self.REPLICATION_DELAY_S
+            ):
+                self.stalled_s = now - self._awaited_since
+        if self._awaited_position is None and primary is not None:
+            self._awaited_position = primary.received
+            self._awaited_since = primary.asked_at
 
 
 def choose_successor(
     reports: dict[str, _members.Report], members: dict[str, _members.Member]
 ) -> str:
-    """Returns the member that is to lead: the one that received most.
+    """Returns the member to promote: the one that has received the most.
 
-    Among equals, one that stays goes before one that leaves.
+    Among equals, a member that stays is preferred to one that is leaving.
 
     Args:
-        reports: The paused members' reports; at least one.
+        reports: The reports of the paused members, by id; at least one.
         members: All members, by id.
     """
 
-    def rank(name: str) -> tuple[object, bool, str]:
+    def preference(name: str) -> tuple[object, bool, str]:
         member = members.get(name)
-        stays = member is not None and not member.draining
-        return (reports[name].received, stays, name)
+        is_staying = member is not None and not member.draining
+        return (reports[name].received, is_staying, name)
 
-    return max(reports, key=rank)
+    return max(reports, key=preference)
--- a/packages/proxy/src/ferry_proxy/_peer_handler.py
+++ b/packages/proxy/src/ferry_proxy/_peer_handler.py
@@ -1,4 +1,4 @@
-"""What a node answers to its peers."""
+"""Handlers for the messages of other nodes, one for each message type."""
 
 from collections.abc import Callable
 import math
@@ -37,7 +37,7 @@
 
 
 class PeerMessageHandler:
-    """Answers the messages of other nodes."""
+    """Dispatches the messages of other nodes to their handlers."""
 
     def __init__(
         self,
@@ -58,8 +58,8 @@
         self.allowances = allowances
 
     def describe(self) -> _peer_messages.Ping:
-        """Returns what the peers should know of this node now."""
-        well = [n for n in self.groups.groups if self.groups.can_serve(n)]
+        """Returns this node's current state for its peers."""
+        can_serve = [n for n in self.groups.groups if self.groups.can_serve(n)]
         age_s = self.follower.age_s
         covered = self.catalogue.covered
         return _peer_messages.Ping(
@@ -67,93 +67,97 @@
             covered.number,
             self.catalogue.version,
             age_s if math.isfinite(age_s) else -1.0,
-            sorted(well),
+            sorted(can_serve),
             self.reach.missed,
         )
 
     def answer(
         self, stream: _peers.PeerStream, body: _peer_messages.Message
     ) -> "_peer_messages.Message | decisions.Future[typing.Any] | None":
-        """Takes a message; returns its answer, now or later, or None."""
+        """Handles a message.
+
+        Returns:
+            The reply, a future of it, or None for a message without a reply.
+        """
         handler = _handlers.get(type(body))
         return None if handler is None else handler(self, stream, body)
 
     def forget(self, stream: _peers.PeerStream) -> None:
-        """Takes in that a stream has ended."""
+        """Releases what is kept for a stream that has ended."""
         self.serving.forget(stream)
 
 
 @_handles(_peer_messages.SyncRequest)
-def _sync(
-    desk: PeerMessageHandler,
+def _handle_sync(
+    node: PeerMessageHandler,
     _: _peers.PeerStream,
     body: _peer_messages.SyncRequest,
 ) -> _peer_messages.SyncReply:
-    batch = desk.catalogue.batch_after(body.revision, body.version)
+    batch = node.catalogue.batch_after(body.revision, body.version)
     return _peer_messages.SyncReply.of(batch)
 
 
 @_handles(_peer_messages.SurveyRequest)
-def _survey(
-    desk: PeerMessageHandler,
+def _handle_survey(
+    node: PeerMessageHandler,
     _: _peers.PeerStream,
     body: _peer_messages.SurveyRequest,
 ) -> _peer_messages.SurveyReply:
-    served = desk.groups.find(body.service)
+    served = node.groups.find(body.service)
     if served is None:
         return _peer_messages.NO_SURVEY
     return served.surveys.answer(served.group)
 
 
 @_handles(_peer_messages.OpinionRequest)
-def _opinion(
-    desk: PeerMessageHandler,
+def _handle_opinion(
+    node: PeerMessageHandler,
     _: _peers.PeerStream,
     body: _peer_messages.OpinionRequest,
 ) -> _peer_messages.OpinionReply:
-    served = desk.groups.find(body.service)
+    served = node.groups.find(body.service)
     pool = served.group.pools.get(body.member) if served else None
     if pool is None or pool.member.born != body.born:
         return _peer_messages.OpinionReply(-1.0)
     return _peer_messages.OpinionReply(
-        desk.clock.now() - pool.contact.heard, pool.contact.unanswered_s
+        node.clock.now() - pool.contact.heard, pool.contact.unanswered_s
     )
 
 
 @_handles(_peer_messages.LeaderNotice)
-def _leader(
-    desk: PeerMessageHandler,
+def _handle_leader_notice(
+    node: PeerMessageHandler,
     _: _peers.PeerStream,
     body: _peer_messages.LeaderNotice,
 ) -> None:
-    served = desk.groups.find(body.service)
+    served = node.groups.find(body.service)
     if served is not None:
         served.group.note_leader(_members.Leader(body.member, body.term))
         served.group.refresh()
 
 
 @_handles(_allowances.AllowanceRequest)
-def _allow(
-    desk: PeerMessageHandler,
+def _handle_allowance(
+    node: PeerMessageHandler,
     _: _peers.PeerStream,
     body: _allowances.AllowanceRequest,
 ) -> "_allowances.AllowanceReply | decisions.Future[typing.Any]":
-    return desk.allowances.answer(body)
+    return node.allowances.answer(body)
 
 
 @_handles(_forward_messages.RunRequest)
-def _run(
-    desk: PeerMessageHandler,
+def _handle_run(
+    node: PeerMessageHandler,
     stream: _peers.PeerStream,
     body: _forward_messages.RunRequest,
 ) -> "decisions.Future[_forward_messages.RunReply]":
-    return desk.serving.run(stream, body)
+    return node.serving.run(stream, body)
 
 
 @_handles(_forward_messages.EndTransaction)
-def _end(
-    desk: PeerMessageHandler,
+def _handle_end_transaction(
+    node: PeerMessageHandler,
     stream: _peers.PeerStream,
     body: _forward_messages.EndTransaction,
 ) -> None:
-    desk.serving.end(stream, body.transaction)
+    node.serving.end(stream, body.transaction)
--- a/packages/proxy/src/ferry_proxy/_peer_messages.py
+++ b/packages/proxy/src/ferry_proxy/_peer_messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other, as msgpack arrays over a stream."""
+"""Messages between nodes, encoded as msgpack arrays over a stream."""
 
 from collections.abc import Callable
 import functools
@@ -13,15 +13,21 @@
 from ferry_proxy import _catalogue
 from ferry_proxy import _store
 
-MAX_MESSAGE_BYTES = 8 * 1024 * 1024  # A whole copy of the store's items.
-PACKED_BYTES = 4096  # Values from this size on travel compressed: 1,800 routes
-# and 83 teams are 429 KB, 0.34 s of a link of 10 Mbit/s, and 33 KB so.
-PACK_LEVEL = 1  # 2.6 ms of a core for these; level 6 saves 2 KB more.
-MAX_VALUE_BYTES = 8 * 1024 * 1024  # What a compressed value may hold.
+# A message has to hold a complete copy of the store's items.
+MAX_MESSAGE_BYTES = 8 * 1024 * 1024
+# Values of at least this size are sent compressed. A configuration of 1,800
+# routes and 83 teams is 429 KB, which takes a link of 10 Mbit/s 0.34 s, and
+# 33 KB compressed.
+MIN_COMPRESSED_BYTES = 4096
+# Level 1 takes 2.6 ms of a core for that configuration; level 6 would save
+# only 2 KB more.
+COMPRESSION_LEVEL = 1
+# Limits the size of a value after decompression.
+MAX_VALUE_BYTES = 8 * 1024 * 1024
 
 
 class PeerProtocolError(Exception):
-    """Bytes from a peer are no message."""
+    """The bytes from a peer are not a valid message."""
 
 
 Message = attrs.AttrsInstance
@@ -30,12 +36,12 @@
 
 @attrs.frozen(slots=True, repr=False)
 class _Format:
-    """How a type of message is written.
+    """The wire format of a message type.
 
     Attributes:
-        name: What stands for the type on the wire.
-        cls: The type.
-        fields: The names of its fields, in their order.
+        name: The type's name on the wire.
+        cls: The class of its messages.
+        fields: The names of its fields, in the order on the wire.
     """
 
     name: str
@@ -52,8 +58,8 @@
 
     def register(cls: type[T]) -> type[T]:
         fields = tuple(f.name for f in attrs.fields(cls))
-        found = _Format(name, cls, fields)
-        _by_name[name] = _by_type[cls] = found
+        message_format = _Format(name, cls, fields)
+        _by_name[name] = _by_type[cls] = message_format
         return cls
 
     return register
@@ -62,7 +68,11 @@
 @message("hello")
 @attrs.frozen(slots=True, repr=False)
 class Hello:
-    """The first message of each side: who it is."""
+    """The first message of each side of a stream.
+
+    Attributes:
+        node: The sender's name.
+    """
 
     node: str
 
@@ -70,16 +80,16 @@
 @message("ping")
 @attrs.frozen(slots=True, repr=False)
 class Ping:
-    """Shows that the sender lives, and how new its copy of the store is.
+    """A keep-alive message with the state of the sender.
 
     Attributes:
-        era: The era of the newest change in its copy of the store.
+        era: The era of the newest change in the sender's copy of the store.
         covered: The number of that change.
-        version: The version of the configuration that it has; 0 for none.
-        store_age_s: Seconds since the store answered it or its informants;
-            negative for never.
-        services: The groups whose statements it can run well now.
-        missed: The groups that other nodes serve and it has lost.
+        version: The version of the sender's configuration; 0 for none.
+        store_age_s: Seconds since the store answered the sender, or a node
+            that the sender has its data from; negative for never.
+        services: The groups whose statements the sender can run now.
+        missed: The groups that other nodes serve and the sender has lost.
     """
 
     era: int
@@ -91,26 +101,27 @@
 
     @property
     def newest(self) -> decisions.Revision:
-        """The newest change in its copy of the store."""
+        """The revision of the newest change in the sender's copy."""
         return decisions.Revision(self.era, self.covered)
 
     @property
     def state(self) -> "Ping":
-        """What it tells but for the age of the news of the store."""
+        """The contents without the age of the store's data."""
         return attrs.evolve(self, store_age_s=0.0)
 
 
 @message("same")
 @attrs.frozen(slots=True, repr=False)
 class SamePing:
-    """A ping that differs from the last one of this stream in age alone.
+    """A ping that differs from the stream's previous one only in the age.
 
-    It takes 10 bytes, where a ping takes 40 and at a node that serves ten
-    groups 90: pings were two thirds of all bytes between data centres.
+    It takes 10 bytes. A full ping takes 40, and 90 from a node that serves ten
+    groups; with full pings alone, they were two thirds of all bytes between
+    data centres.
 
     Attributes:
-        store_age_ms: Milliseconds since the store answered the sender or its
-            informants; negative for never.
+        store_age_ms: Milliseconds since the store answered the sender, or a
+            node that the sender has its data from; negative for never.
     """
 
     store_age_ms: int
@@ -119,12 +130,12 @@
 @message("sync")
 @attrs.frozen(slots=True, repr=False)
 class SyncRequest:
-    """Asks for all that changed after a revision.
+    """Asks for all changes after a revision.
 
     Attributes:
         era: The revision's era.
         number: The revision's number.
-        version: The version of the configuration that the sender has.
+        version: The version of the sender's configuration.
     """
 
     era: int
@@ -133,30 +144,32 @@
 
     @classmethod
     def of(cls, known: _catalogue.Catalogue) -> "SyncRequest":
-        """Returns the message for what a copy of the store lacks."""
+        """Returns the request for the changes that a copy lacks."""
         revision = known.revision
         return cls(revision.era, revision.number, known.version)
 
     @property
     def revision(self) -> decisions.Revision:
-        """The revision, typed."""
+        """The revision after which changes are wanted."""
         return decisions.Revision(self.era, self.number)
 
 
 @message("items")
 @attrs.frozen(slots=True, repr=False)
 class SyncReply:
-    """What the sender's copy of the store holds besides.
+    """The changes in the sender's copy of the store after a revision.
 
     Attributes:
-        rows: Items, as rows of key, value and number of the revision, and
-            whether the value is compressed.
-        era: The era of all revisions.
-        revision: The number of the revision up to which they lead.
+        rows: The changed items, each as its key, its value, the number of its
+            revision, and whether the value is compressed.
+        era: The era of all revisions in the message.
+        revision: The number of the revision that a copy with these changes
+            has reached.
         covered: The number of the newest change that the sender knows.
-        is_whole: Whether keys that are missing do not exist.
-        kept: None or one such row: the configuration in force, where the rows
-            do not hold it.
+        is_whole: Whether the rows are the complete contents, so that keys
+            without a row do not exist.
+        kept: The row of the configuration in force, if it is not among the
+            rows; otherwise None.
     """
 
     rows: list[tuple[str, bytes | None, int, bool]]
@@ -168,12 +181,13 @@
 
     @classmethod
     def of(cls, batch: _catalogue.Batch) -> "SyncReply":
-        """Returns the message for a batch."""
-        rows = [_row(i) for i in batch.items]
+        """Returns the message that carries a batch of changes."""
+        rows = [_encode_item(i) for i in batch.items]
         revision, covered = batch.revision, batch.covered
         kept = batch.kept
         if kept is not None:
-            # Its own revision may be of an era that is over.
+            # Its own revision may belong to an earlier era, and the message
+            # has only one era.
             kept = attrs.evolve(kept, revision=revision.beginning)
         return cls(
             rows,
@@ -181,51 +195,51 @@
             revision.number,
             covered.number,
             batch.is_whole,
-            _row(kept) if kept else None,
+            _encode_item(kept) if kept else None,
         )
 
     @property
     def batch(self) -> "_catalogue.Batch":
-        """The batch, typed.
+        """The batch of changes that the message carries.
 
         Raises:
-            PeerProtocolError: A compressed value is none.
+            PeerProtocolError: A compressed value is invalid.
         """
         era = self.era
         return _catalogue.Batch(
-            tuple(_item(era, *row) for row in self.rows),
+            tuple(_decode_item(era, *row) for row in self.rows),
             decisions.Revision(era, self.revision),
             decisions.Revision(era, self.covered),
             self.is_whole,
-            _item(era, *self.kept) if self.kept else None,
+            _decode_item(era, *self.kept) if self.kept else None,
         )
 
 
-def _row(item: _store.Item) -> tuple[str, bytes | None, int, bool]:
+def _encode_item(item: _store.Item) -> tuple[str, bytes | None, int, bool]:
     value = item.value
-    if value is None or len(value) < PACKED_BYTES:
+    if value is None or len(value) < MIN_COMPRESSED_BYTES:
         return item.key, value, item.revision.number, False
-    return item.key, _packed(value), item.revision.number, True
+    return item.key, _compress(value), item.revision.number, True
 
 
 @functools.lru_cache(maxsize=4)
-def _packed(value: bytes) -> bytes:
-    """Compresses a value once, however many peers ask for it."""
-    return zlib.compress(value, PACK_LEVEL)
+def _compress(value: bytes) -> bytes:
+    """Compresses a value; cached, as many peers ask for the same one."""
+    return zlib.compress(value, COMPRESSION_LEVEL)
 
 
-def _item(
-    era: int, key: str, value: bytes | None, number: int, is_packed: bool
+def _decode_item(
+    era: int, key: str, value: bytes | None, number: int, is_compressed: bool
 ) -> _store.Item:
     revision = decisions.Revision(era, number)
-    if value is None or not is_packed:
+    if value is None or not is_compressed:
         return _store.Item(key, value, revision)
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        plain = unpacker.decompress(value, MAX_VALUE_BYTES)
+        plain = decompressor.decompress(value, MAX_VALUE_BYTES)
     except zlib.error as exc:
         raise PeerProtocolError(f"{key}: {exc}") from exc
-    if not unpacker.eof:
+    if not decompressor.eof:
         raise PeerProtocolError(f"{key}: cut short, or too large")
     return _store.Item(key, plain, revision)
 
@@ -233,12 +247,13 @@
 @message("opinion?")
 @attrs.frozen(slots=True, repr=False)
 class OpinionRequest:
-    """Asks how long ago a member was heard.
+    """Asks for a peer's view of its contact with a member.
 
     Attributes:
         service: The group.
         member: The member's id.
-        born: The life of it that is meant.
+        born: Identifies the start of the member that is meant; it changes
+            when the member restarts.
     """
 
     service: str
@@ -249,11 +264,13 @@
 @message("opinion")
 @attrs.frozen(slots=True, repr=False)
 class OpinionReply:
-    """What a node knows of its contact with a member.
+    """The sender's contact with a member.
 
     Attributes:
-        heard_ago_s: Seconds since the member was heard; negative for never.
-        unanswered_s: For how long it has left a later question unanswered.
+        heard_ago_s: Seconds since the member last answered; negative for
+            never.
+        unanswered_s: Seconds for which a request sent after that has been
+            pending.
     """
 
     heard_ago_s: float
@@ -263,7 +280,13 @@
 @message("leader")
 @attrs.frozen(slots=True, repr=False)
 class LeaderNotice:
-    """Tells that a member leads a group since a term."""
+    """Announces that a member leads a group.
+
+    Attributes:
+        service: The group.
+        member: The member's id.
+        term: The term that began when the member became the primary.
+    """
 
     service: str
     member: str
@@ -273,7 +296,11 @@
 @message("survey?")
 @attrs.frozen(slots=True, repr=False)
 class SurveyRequest:
-    """Asks for the newest floor of a group."""
+    """Asks for the newest floor of a group.
+
+    Attributes:
+        service: The group.
+    """
 
     service: str
 
@@ -281,16 +308,16 @@
 @message("survey")
 @attrs.frozen(slots=True, repr=False)
 class SurveyReply:
-    """What the last round of questions to a group found.
+    """The result of the sender's last status round of a group.
 
     Attributes:
-        member: The primary; empty where none is known.
-        term: Its term.
+        member: The primary's id; empty if none is known.
+        term: The primary's term.
         floor_term: The term of the floor.
         floor_index: The index of the floor.
-        age_s: How long ago, when this was sent, the floor covered all
-            acknowledged commits; negative where there is none.
-        heard_ago_s: How long ago the primary was heard.
+        age_s: Seconds, at the time of sending, since the floor covered all
+            acknowledged commits; negative if there is no floor.
+        heard_ago_s: Seconds since the primary last answered the sender.
     """
 
     member: str
@@ -306,37 +333,50 @@
 
 @attrs.frozen(slots=True, repr=False)
 class Envelope:
-    """A message and the number of the question that it belongs to."""
+    """A message with its call number.
+
+    Attributes:
+        number: Positive for a request, its negative for the reply, and 0 for
+            a message without a reply.
+        body: The message.
+    """
 
     number: int
     body: Message
 
 
 def encode(number: int, body: Message) -> bytes:
-    """Returns the bytes of a message."""
-    found = _by_type[type(body)]
-    fields = [getattr(body, name) for name in found.fields]
-    return typing.cast(bytes, msgpack.packb([found.name, number, *fields]))
+    """Encodes a message.
+
+    Args:
+        number: The call number, as in `Envelope`.
+        body: The message.
+    """
+    message_format = _by_type[type(body)]
+    fields = [getattr(body, name) for name in message_format.fields]
+    return typing.cast(
+        bytes, msgpack.packb([message_format.name, number, *fields])
+    )
 
 
 class Decoder:
-    """Cuts a stream of bytes into messages."""
+    """Decodes a stream of bytes into messages."""
 
     def __init__(self) -> None:
         self._values = runtime.ValueDecoder(MAX_MESSAGE_BYTES)
 
     def feed(self, data: bytes) -> list[Envelope]:
-        """Returns the messages that are whole now.
+        """Adds bytes and returns the messages that are complete now.
 
         Raises:
-            PeerProtocolError: The bytes are no messages.
+            PeerProtocolError: The bytes are not valid messages.
         """
         try:
-            return [_envelope(raw) for raw in self._values.feed(data)]
+            return [_decode_envelope(raw) for raw in self._values.feed(data)]
         except (ValueError, TypeError, KeyError) as exc:
             raise PeerProtocolError(repr(exc)) from exc
 
 
-def _envelope(raw: typing.Any) -> Envelope:
+def _decode_envelope(raw: typing.Any) -> Envelope:
     name, number, *fields = raw
     return Envelope(int(number), _by_name[name].cls(*fields))
--- a/packages/proxy/src/ferry_proxy/_peers.py
+++ b/packages/proxy/src/ferry_proxy/_peers.py
@@ -1,4 +1,4 @@
-"""Streams between nodes: questions, answers, and signs of life."""
+"""Streams between nodes: requests, replies and keep-alive pings."""
 
 from collections.abc import Callable
 from collections.abc import Collection
@@ -13,16 +13,17 @@
 
 from ferry_proxy import _peer_messages
 
-SILENT_S = 1.6  # Three pings: the stream is taken for dead.
+# A stream without data for this long is closed. Three pings are due in it.
+PEER_TIMEOUT_S = 1.6
 USER_TIMEOUT_MS = 1_500
 MS_PER_S = 1000
 
 
 class PeerLostError(Exception):
-    """The stream ended before the answer.
+    """The stream ended before the reply arrived.
 
     Attributes:
-        sent: Whether the question may have reached the peer.
+        sent: Whether the request may have reached the peer.
     """
 
     def __init__(self, detail: str, sent: bool = True) -> None:
@@ -31,72 +32,84 @@
 
 
 class MessageHandler(typing.Protocol):
-    """What a node does with what its peers send."""
+    """Handles the messages that peers send to this node."""
 
     def describe(self) -> _peer_messages.Ping:
-        """Returns what the peers should know of this node now."""
+        """Returns this node's current state for its peers."""
 
     def answer(
         self, stream: "PeerStream", body: _peer_messages.Message
     ) -> "_peer_messages.Message | decisions.Future[typing.Any] | None":
-        """Takes a message; returns its answer, now or later, or None."""
+        """Handles a message.
+
+        Returns:
+            The reply, a future of it, or None for a message without a reply.
+        """
 
     def forget(self, stream: "PeerStream") -> None:
-        """Takes in that a stream has ended."""
+        """Releases what is kept for a stream that has ended."""
 
 
 class NullMessageHandler:
-    """Answers nothing: for a mesh that is not open yet."""
+    """Ignores all messages; used until a mesh is opened."""
 
     def describe(self) -> _peer_messages.Ping:
-        """Returns that nothing is known or served."""
+        """Returns the state of a node that knows and serves nothing."""
         return _peer_messages.Ping(0, 0, 0, -1.0, [], [])
 
     def answer(
         self, stream: "PeerStream", body: _peer_messages.Message
     ) -> None:
-        """Answers nothing."""
+        """Ignores the message."""
 
     def forget(self, stream: "PeerStream") -> None:
-        """Holds nothing that could be dropped."""
+        """Does nothing, as nothing is kept for a stream."""
 
 
 class Peer(typing.Protocol):
-    """What questions to another node need of a stream to it."""
+    """The part of a stream that is needed to call another node.
+
+    Attributes:
+        peer: The name of the other node.
+    """
 
     peer: str
 
     @property
     def silence_s(self) -> float:
-        """Seconds since the peer was heard."""
+        """Seconds since data from the peer last arrived."""
 
     def call(
         self, body: _peer_messages.Message
     ) -> "decisions.Future[_peer_messages.Message]":
-        """Sends a question; fails with `PeerLostError` without an answer."""
+        """Sends a request.
+
+        Returns:
+            The reply. It fails with `PeerLostError` if the stream ends first.
+        """
 
     def tell(self, body: _peer_messages.Message) -> None:
-        """Sends a message that has no answer."""
+        """Sends a message that has no reply."""
 
 
 class Peers(typing.Protocol):
-    """The other nodes that are connected."""
+    """The connected peers."""
 
     @property
     def streams(self) -> Sequence[Peer]:
-        """One stream for each."""
+        """One open stream to each connected peer."""
 
 
 class Streams(Peers, typing.Protocol):
-    """The other nodes that are connected, by name."""
+    """The connected peers, also by name."""
 
     @property
     def by_name(self) -> Mapping[str, Peer]:
-        """The open streams by the names of the peers."""
+        """The open streams, keyed by the peer's name."""
 
 
 class PeerSubset:
-    """Those of the connected nodes that are of some set."""
+    """The connected peers whose names are in a given set."""
 
     def __init__(
         self, mesh: Streams, names: Callable[[], Collection[str]]
@@ -106,28 +119,28 @@
 
     @property
     def streams(self) -> Sequence[Peer]:
-        """One stream for each node of the set that is connected."""
+        """One open stream to each connected peer of the set."""
         streams = self._mesh.by_name
         return [streams[n] for n in self._names() if n in streams]
 
 
 @attrs.frozen(slots=True)
 class EncodedPing:
-    """A sign of life, encoded once for all streams.
+    """A ping, encoded once for all streams.
 
     Attributes:
-        state: What it tells but for the age of the news of the store.
-        whole: The message for a stream that was told another state last.
-        short: The message for the others.
+        state: The contents of the ping without the age of the store's data.
+        full: The bytes for streams on which another state was sent last.
+        short: The bytes for streams on which this state was sent last.
     """
 
     state: _peer_messages.Ping
-    whole: bytes
+    full: bytes
     short: bytes
 
     @classmethod
     def of(cls, ping: _peer_messages.Ping) -> "EncodedPing":
-        """Returns the sign of life that a ping is."""
+        """Encodes a ping in its full and its short form."""
         age_s = ping.store_age_s
         age_ms = round(age_s * MS_PER_S) if age_s >= 0 else -1
         return cls(
@@ -139,11 +152,11 @@
 
 @attrs.frozen(slots=True)
 class _Call:
-    """A question that has no answer yet.
+    """A request that waits for its reply.
 
     Attributes:
-        fut: Done with the answer.
-        sent_at: When it was sent, in the clock's seconds.
+        fut: Completed with the reply.
+        sent_at: When the request was sent, in the clock's seconds.
     """
 
     fut: "decisions.Future[_peer_messages.Message]"
@@ -151,33 +164,45 @@
 
 
 class PeerStream:
-    """One stream to another node."""
+    """A stream to another node.
+
+    Attributes:
+        peer: The name of the peer; empty until its `Hello` has arrived.
+        covered: The newest change in the peer's copy of the store.
+        version: The version of the configuration that the peer has.
+        store_seen: When the store last answered the peer or a node that the
+            peer has its data from, in the clock's seconds.
+        services: The groups whose statements the peer can run.
+        missed: The groups that other nodes serve and the peer has lost.
+        open_transactions: Transactions of this node that run over the stream.
+    """
 
     def __init__(
         self,
         loop: runtime.EventLoop,
         stream: runtime.Stream,
         node: str,
-        desk: MessageHandler,
+        handler: MessageHandler,
         on_change: Callable[[], object],
     ) -> None:
-        """Wraps a stream, and greets the peer.
+        """Wraps a stream, and sends `Hello` and a first ping.
 
         Args:
             loop: The event loop.
-            stream: The stream, open or opening.
+            stream: The stream; its connection may still be opening.
             node: This node's name.
-            desk: Answers the peer's questions.
-            on_change: Called when the peer has said who it is, and at the end.
+            handler: Handles the peer's messages.
+            on_change: Called when the peer's name has arrived, and when the
+                stream ends.
         """
         self._loop = loop
         self._stream = stream
-        self._desk = desk
+        self._handler = handler
         self._on_change = on_change
         self._decoder = _peer_messages.Decoder()
         self._calls: dict[int, _Call] = {}
         self._numbers = itertools.count(1)
-        self._heard = loop.now()
+        self._heard_at = loop.now()
         self.peer = ""
         self.covered = decisions.UNREAD
         self.version = 0
@@ -185,14 +210,14 @@
         self.services: frozenset[str] = frozenset()
         self.missed: frozenset[str] = frozenset()
         self.open_transactions = 0
-        self._forgotten = False
+        self._is_forgotten = False
         stream.on_data = self._receive
         stream.on_closed = lambda exc: self._fail(str(exc))
         stream.keep_alive(USER_TIMEOUT_MS)
-        self._told: _peer_messages.Ping | None = None
-        self._owing = 0
+        self._last_sent_state: _peer_messages.Ping | None = None
+        self._pending_replies = 0
         self.tell(_peer_messages.Hello(node))
-        self._pulse(EncodedPing.of(desk.describe()))
+        self._send_ping(EncodedPing.of(handler.describe()))
 
     @property
     def closed(self) -> bool:
@@ -201,36 +226,44 @@
 
     @property
     def is_opening(self) -> bool:
-        """Whether the peer's machine has not answered yet."""
+        """Whether the connection is not established yet."""
         return self._stream.is_opening
 
     @property
     def silence_s(self) -> float:
-        """Seconds since the peer was heard."""
-        return self._loop.now() - self._heard
+        """Seconds since data from the peer last arrived."""
+        return self._loop.now() - self._heard_at
 
     @property
     def unresponsive_s(self) -> float:
-        """Seconds since the peer was heard, while it owes an answer."""
+        """Seconds without data from the peer while a call is pending.
+
+        They count from the oldest pending call at the earliest, and are 0 if
+        no call is pending.
+        """
         first = next(iter(self._calls.values()), None)
         if first is None:
             return 0.0
-        return self._loop.now() - max(first.sent_at, self._heard)
+        return self._loop.now() - max(first.sent_at, self._heard_at)
 
     @property
     def pending_calls(self) -> int:
-        """Questions to the peer that have no answer yet."""
+        """How many requests to the peer wait for a reply."""
         return len(self._calls)
 
     @property
     def is_used(self) -> bool:
-        """Whether an answer or a transaction depends on the stream."""
+        """Whether a pending call or a transaction depends on the stream."""
         return bool(self._calls or self.open_transactions)
 
     def call(
         self, body: _peer_messages.Message
     ) -> "decisions.Future[_peer_messages.Message]":
-        """Sends a question; fails with `PeerLostError` without an answer."""
+        """Sends a request.
+
+        Returns:
+            The reply. It fails with `PeerLostError` if the stream ends first.
+        """
         if self.closed:
             return decisions.failed(PeerLostError(self.peer, sent=False))
         fut: decisions.Future[_peer_messages.Message] = decisions.Future()
@@ -240,40 +273,42 @@
         return fut
 
     def tell(self, body: _peer_messages.Message) -> None:
-        """Sends a message that has no answer."""
+        """Sends a message that has no reply."""
         self._stream.send(_peer_messages.encode(0, body))
 
-    def tick(self, pulse: EncodedPing) -> None:
-        """Shows life, and ends a stream that shows none."""
-        if self.silence_s > SILENT_S:
+    def tick(self, ping: EncodedPing) -> None:
+        """Sends a ping, or closes the stream if the peer has timed out."""
+        if self.silence_s > PEER_TIMEOUT_S:
             self._fail("silent")
         elif not self.closed:
-            self._pulse(pulse)
+            self._send_ping(ping)
 
     @property
     def has_pending_replies(self) -> bool:
-        """Whether the peer waits for an answer of this node."""
-        return self._owing > 0 and not self.closed
+        """Whether the peer waits for a reply from this node."""
+        return self._pending_replies > 0 and not self.closed
 
-    def _pulse(self, pulse: EncodedPing) -> None:
-        is_same = pulse.state == self._told
-        self._told = pulse.state
-        self._stream.send(pulse.short if is_same else pulse.whole)
+    def _send_ping(self, ping: EncodedPing) -> None:
+        is_same = ping.state == self._last_sent_state
+        self._last_sent_state = ping.state
+        self._stream.send(ping.short if is_same else ping.full)
 
     def close(self) -> None:
         """Closes the stream."""
         self._fail("closed by this node")
 
     def _receive(self, data: bytes) -> None:
-        self._heard = self._loop.now()
+        self._heard_at = self._loop.now()
         try:
             for envelope in self._decoder.feed(data):
-                self._take(envelope)
+                self._dispatch(envelope)
         except _peer_messages.PeerProtocolError as exc:
-            decisions.log_warning("peer %s sent no message: %s", self.peer, exc)
+            decisions.log_warning(
+                "invalid message from peer %s: %s", self.peer, exc
+            )
             self._fail(str(exc))
 
-    def _take(self, envelope: _peer_messages.Envelope) -> None:
+    def _dispatch(self, envelope: _peer_messages.Envelope) -> None:
         body = envelope.body
         if isinstance(body, _peer_messages.Hello):
             self.peer = body.node
@@ -281,24 +316,28 @@
         elif isinstance(body, _peer_messages.Ping):
             self.covered = body.newest
             self.version = body.version
-            self._note_store(body.store_age_s)
+            self._update_store_seen(body.store_age_s)
             self.services = frozenset(body.services)
             self.missed = frozenset(body.missed)
         elif isinstance(body, _peer_messages.SamePing):
-            self._note_store(body.store_age_ms / MS_PER_S)
+            self._update_store_seen(body.store_age_ms / MS_PER_S)
         elif envelope.number < 0:
             call = self._calls.pop(-envelope.number, None)
             if call is not None:
                 decisions.resolve(call.fut, body)
         else:
-            self._answer(envelope.number, self._desk.answer(self, body))
+            self._send_answer(envelope.number, self._handler.answer(self, body))
+
+    def _update_store_seen(self, age_s: float) -> None:
+        """Records when the store last answered the peer.
 
-    def _note_store(self, age_s: float) -> None:
-        """Takes in when the store answered the peer; negative for never."""
+        Args:
+            age_s: Seconds since then; negative if it never has.
+        """
         if age_s >= 0:
-            self.store_seen = self._heard - age_s
+            self.store_seen = self._heard_at - age_s
 
-    def _answer(
+    def _send_answer(
         self,
         number: int,
         answer: "_peer_messages.Message | decisions.Future[typing.Any] | None",
@@ -306,16 +345,18 @@
         if answer is None or not number:
             return
         if isinstance(answer, decisions.Future):
-            self._owing += 1
-            answer.add_done_callback(lambda fut: self._answer_late(number, fut))
+            self._pending_replies += 1
+            answer.add_done_callback(
+                lambda fut: self._send_late_answer(number, fut)
+            )
             return
         self._stream.send(_peer_messages.encode(-number, answer))
 
-    def _answer_late(
+    def _send_late_answer(
         self, number: int, fut: "decisions.Future[typing.Any]"
     ) -> None:
-        self._owing -= 1
-        self._answer(number, fut.result())
+        self._pending_replies -= 1
+        self._send_answer(number, fut.result())
 
     def _fail(self, detail: str) -> None:
         self._stream.close()
@@ -324,6 +365,6 @@
         for call in calls.values():
             lost = PeerLostError(f"{self.peer}: {detail}")
             decisions.reject(call.fut, lost)
-        if not self._forgotten:
-            self._forgotten = True
-            self._desk.forget(self)
+        if not self._is_forgotten:
+            self._is_forgotten = True
+            self._handler.forget(self)
--- a/packages/proxy/src/ferry_proxy/_promotions.py
+++ b/packages/proxy/src/ferry_proxy/_promotions.py
@@ -1,9 +1,10 @@
-"""Changes of primary, from the evidence to the new term.
+"""Changes of a group's primary, from the evidence to the new term.
 
-Any node may act. It claims the change in the store, which also gives the
-fencing token; stops the old primary and its replicas; promotes the replica
-that received most; and tells its peers. A holder acts only for a bounded boot
-time after its claim, and others wait longer than that before they claim.
+Any serving node may act. It claims the change in the store, which provides the
+fencing token. It then fences the old primary and the replicas, promotes the
+replica that has received the most, and notifies its peers. The holder of a
+claim acts only for a limited time of the boot clock, and other nodes wait
+longer than that before they claim.
 """
 
 from collections.abc import Callable
@@ -28,30 +29,39 @@
 from ferry_proxy import _records
 from ferry_proxy import _store
 
-RANK_DELAY_S = 0.06  # Longer than a claim takes to be seen by the next node.
-MAX_RANK = 2  # Later ones claim together; the store takes one of them.
-OPINION_WAIT_S = 0.1  # A peer answers in a few ms, a slow one in 25 ms.
-PAUSE_AFTER_FAILURE_S = 0.4
-MOST_PATIENCE_S = 16.0  # Half of the time for which lost members are feared.
-PAUSE_AFTER_VETO_S = 0.1  # The peer may notice next; asking costs little.
-POLL_S = 0.03  # How often a promoted member is asked whether it leads.
+# Nodes claim one after the other, this far apart. A claim reaches the next
+# node in less.
+CLAIM_RANK_DELAY_S = 0.06
+# Nodes of a higher rank claim at the same time as this one, and the store
+# accepts one of the claims.
+MAX_CLAIM_RANK = 2
+# A peer answers in a few milliseconds, a slow one in 25 ms.
+OPINION_TIMEOUT_S = 0.1
+FAILURE_BACKOFF_S = 0.4
+# About half of `_fencing.MAX_REMOVED_MEMBER_S`.
+MAX_PROMOTE_WAIT_S = 16.0
+# The vetoing peer may lose the primary next, and asking it again is cheap.
+VETO_BACKOFF_S = 0.1
+# How often a promoted member is asked whether it leads.
+LEADER_POLL_S = 0.03
 
 
 @attrs.frozen(slots=True)
 class PromoterContext:
-    """What a promoter works with.
+    """The dependencies of a promoter.
 
     Attributes:
         clock: The clock.
-        policy: The tunables.
+        policy: The tunable limits and intervals.
         node: This node's name.
         nodes: Returns the names of the nodes that serve the group.
-        catalogue: The copy of the store.
+        catalogue: The local copy of the store.
         store: The store.
-        promotions: The platform's call.
-        mesh: The peers.
-        note_promoted: Called with each change that this node completed.
-        is_stopping: Whether this node is about to end.
+        promotions: The platform's call that makes a member the primary.
+        mesh: The connected nodes that serve the group.
+        note_promoted: Called after each change that this node completed, with
+            its cause and how long it took in seconds.
+        is_stopping: Returns whether this node is shutting down.
     """
 
     clock: _clocks.Clock
@@ -66,63 +76,66 @@
     is_stopping: Callable[[], bool]
 
 
-ASK_AGAIN_S = 0.15  # Between rounds about a primary that has gone quiet.
+# The least time between status rounds while the primary does not answer.
+PRIMARY_RECHECK_S = 0.15
 
 
 class Promoter:
-    """Watches one group's primary and replaces it when it has to be."""
+    """Watches the primary of one group and replaces it when necessary."""
 
     def __init__(self, ctx: PromoterContext, group: _groups.Group) -> None:
         self._ctx = ctx
         self._group = group
-        self._busy = False
-        self._stopped = False
-        self._not_before = float("-inf")
-        self._patience_s = ctx.policy.promote_wait_s
-        self._stall = _fencing.StallDetector()
+        self._is_changing = False
+        self._is_stopped = False
+        self._next_attempt_at = float("-inf")
+        self._promote_wait_s = ctx.policy.promote_wait_s
+        self._stall_detector = _fencing.StallDetector()
         self._claims = _claims.Claims(
             ctx.clock, ctx.policy, ctx.node, ctx.store, ctx.catalogue, group
         )
         self._fence = _fences.Fence(ctx.clock, ctx.store, ctx.catalogue, group)
-        group.on_round.append(self._take_round)
+        group.on_round.append(self._on_status_round)
 
     @property
     def is_busy(self) -> bool:
-        """Whether a change is under way."""
-        return self._busy
+        """Whether a change of the primary is under way here."""
+        return self._is_changing
 
     def stop(self) -> None:
-        """Begins no more changes: this node serves the group no longer."""
-        self._stopped = True
+        """Begins no further changes; this node no longer serves the group."""
+        self._is_stopped = True
 
     # -- evidence --------------------------------------------------------
 
-    def _take_round(self, reports: dict[str, _members.Report]) -> None:
-        self._watch_stall(reports)
+    def _on_status_round(self, reports: dict[str, _members.Report]) -> None:
+        self._update_stall(reports)
         self.check()
 
-    def _watch_stall(self, reports: dict[str, _members.Report]) -> None:
-        """Notes since when no replica has a commit of the primary's."""
+    def _update_stall(self, reports: dict[str, _members.Report]) -> None:
+        """Passes a round's reports of the current term to the detector."""
         leader = self._group.leader
-        own = reports.get(leader.member) if leader else None
-        others = [
+        primary_report = reports.get(leader.member) if leader else None
+        replica_reports = [
             r
             for n, r in reports.items()
             if leader is not None
             and n != leader.member
             and r.follows(leader.term)
         ]
-        self._stall.take(own, others, self._ctx.clock.boot_now())
+        self._stall_detector.observe(
+            primary_report, replica_reports, self._ctx.clock.boot_now()
+        )
 
     def evidence(self) -> _fencing.Evidence:
-        """Returns what is known of the primary now."""
+        """Returns what this node has observed of the primary."""
         group = self._group
         now = self._ctx.clock.now()
         pool = group.leader_pool
         successors = [
             p
             for n, p in group.pools.items()
-            if p is not pool and group.is_responsive(p) and self._stays(p)
+            if p is not pool and group.is_responsive(p) and self._is_staying(p)
         ]
         return _fencing.Evidence(
             has_leader=pool is not None,
@@ -138,53 +151,60 @@
     def _stalled_s(self) -> float:
         if not self._group.service.sync_replicas:
             return 0.0
-        return self._stall.stalled_s
+        return self._stall_detector.stalled_s
 
-    def _stays(self, pool: _pools.Pool) -> bool:
+    def _is_staying(self, pool: _pools.Pool) -> bool:
         return not pool.member.draining
 
     def check(self) -> None:
-        """Begins a change if the evidence asks for one."""
-        if self._busy or self._stopped or self._ctx.is_stopping():
+        """Begins a change of the primary if the evidence requires one."""
+        if self._is_changing or self._is_stopped or self._ctx.is_stopping():
             return
-        if self._ctx.clock.now() < self._not_before:
+        if self._ctx.clock.now() < self._next_attempt_at:
             return
-        self._ask_if_quiet()
+        self._recheck_silent_primary()
         cause = _fencing.cause_of_change(self.evidence(), self._ctx.policy)
         if cause is None:
             return
-        self._busy = True
-        fut = decisions.start(self._change(cause))
-        fut.add_done_callback(self._ended)
+        self._is_changing = True
+        fut = decisions.start(self._change_primary(cause))
+        fut.add_done_callback(self._on_change_ended)
+
+    def _recheck_silent_primary(self) -> None:
+        """Asks a primary that does not answer again, over other links.
 
-    def _ask_if_quiet(self) -> None:
-        """Asks over other links at once: one lost link is no lost member."""
+        The loss of one link does not mean that the member is lost.
+        """
         pool = self._group.leader_pool
         if pool is None or not pool.contact.is_quiet:
             return
-        if self._ctx.clock.now() - self._group.round_at > ASK_AGAIN_S:
+        if self._ctx.clock.now() - self._group.round_at > PRIMARY_RECHECK_S:
             self._group.refresh()
 
-    def _ended(self, fut: "decisions.Future[None]") -> None:
-        self._busy = False
+    def _on_change_ended(self, fut: "decisions.Future[None]") -> None:
+        self._is_changing = False
         exc = fut.exception()
         if exc is None:
             return
         vetoed = isinstance(exc, _fences.VetoedError)
-        pause = PAUSE_AFTER_VETO_S if vetoed else PAUSE_AFTER_FAILURE_S
-        self._not_before = self._ctx.clock.now() + pause
+        backoff_s = VETO_BACKOFF_S if vetoed else FAILURE_BACKOFF_S
+        self._next_attempt_at = self._ctx.clock.now() + backoff_s
         self._log("abandoned", 0, "", repr(exc))
 
     # -- the change ------------------------------------------------------
 
-    def _change(self, cause: _fencing.Cause) -> "decisions.Flow[None]":
-        begun = self._ctx.clock.now()
-        opinions = decisions.start(self._opinions())
-        yield decisions.sleep(self._ctx.clock, self._rank() * RANK_DELAY_S)
-        still = _fencing.cause_of_change(self.evidence(), self._ctx.policy)
-        if still is not cause:
+    def _change_primary(self, cause: _fencing.Cause) -> "decisions.Flow[None]":
+        started_at = self._ctx.clock.now()
+        opinions = decisions.start(self._ask_opinions())
+        yield decisions.sleep(
+            self._ctx.clock, self._claim_rank() * CLAIM_RANK_DELAY_S
+        )
+        current_cause = _fencing.cause_of_change(
+            self.evidence(), self._ctx.policy
+        )
+        if current_cause is not cause:
             return
-        self._weigh(cause, (yield opinions))
+        self._check_veto(cause, (yield opinions))
         if cause is _fencing.Cause.STALLED:
             yield from self._confirm_stall()
         held = yield from self._claims.take()
@@ -193,31 +213,35 @@
         try:
             yield from self._replace(cause, held)
         finally:
-            decisions.start(self._claims.finish(held))
-        self._ctx.note_promoted(cause.value, self._ctx.clock.now() - begun)
+            decisions.start(self._claims.release(held))
+        self._ctx.note_promoted(cause.value, self._ctx.clock.now() - started_at)
 
     def _replace(
         self, cause: _fencing.Cause, held: _records.HeldClaim
     ) -> "decisions.Flow[None]":
-        """Stops the old term and begins the next one."""
+        """Fences the old primary and begins the next term."""
         token = held.claim.token
         reports = yield from self._fence.raise_fence(cause, token)
         successor = yield from self._promote(reports, held)
         yield from self._await_leader(successor, token)
 
-    def _rank(self) -> int:
-        """Returns this node's place in the order in which nodes act."""
+    def _claim_rank(self) -> int:
+        """Returns this node's place in the order in which nodes claim."""
         names = sorted({*self._ctx.nodes(), self._ctx.node})
         service = self._group.service.name
         ranked = sorted(
             names, key=lambda n: decisions.rendezvous_score(service, n)
         )
-        return min(MAX_RANK, ranked.index(self._ctx.node))
+        return min(MAX_CLAIM_RANK, ranked.index(self._ctx.node))
 
-    def _opinions(
+    def _ask_opinions(
         self,
     ) -> "decisions.Flow[list[_peer_messages.OpinionReply]]":
-        """Asks the peers for their contact with the primary."""
+        """Asks the peers for their contact with the primary.
+
+        Returns:
+            The replies that arrive in time.
+        """
         group = self._group
         leader = group.leader
         if leader is None:
@@ -229,7 +253,9 @@
             pool.member.born if pool else 0,
         )
         futs = [
-            decisions.within(self._ctx.clock, OPINION_WAIT_S, s.call(question))
+            decisions.within(
+                self._ctx.clock, OPINION_TIMEOUT_S, s.call(question)
+            )
             for s in self._ctx.mesh.streams
         ]
         settled = yield decisions.settle_all(futs, lambda _: False)
@@ -240,15 +266,15 @@
             and isinstance(s.result, _peer_messages.OpinionReply)
         ]
 
-    def _weigh(
+    def _check_veto(
         self,
         cause: _fencing.Cause,
         opinions: list[_peer_messages.OpinionReply],
     ) -> None:
-        """Gives up where a peer's word shows that the primary lives.
+        """Checks that no peer has recent contact with the primary.
 
         Raises:
-            VetoedError: It does.
+            VetoedError: A peer has.
         """
         leader = self._group.leader
         if leader is None:
@@ -267,7 +293,11 @@
             raise _fences.VetoedError("a peer hears the primary")
 
     def _confirm_stall(self) -> "decisions.Flow[None]":
-        """Asks all members at once, before a primary that answers goes."""
+        """Asks all members again before a primary that answers is replaced.
+
+        Raises:
+            ChangeAbandonedError: A replica has received a commit meanwhile.
+        """
         futs = [
             decisions.start(self._group.ask(pool, _links.Status()))
             for pool in self._group.pools.values()
@@ -278,8 +308,8 @@
             for name in self._group.pools
             if (report := self._group.last_report(name)) is not None
         }
-        self._watch_stall(reports)
-        if self._stall.stalled_s < self._ctx.policy.stall_s:
+        self._update_stall(reports)
+        if self._stall_detector.stalled_s < self._ctx.policy.stall_s:
             raise _fences.ChangeAbandonedError(
                 "a replica receives commits again"
             )
@@ -289,7 +319,19 @@
         reports: dict[str, _members.Report],
         held: _records.HeldClaim,
     ) -> "decisions.Flow[str]":
-        """Orders the promotion; returns the member that is to lead."""
+        """Orders the promotion of a paused replica.
+
+        Args:
+            reports: The reports of the paused members, by id.
+            held: The claim to act on.
+
+        Returns:
+            The member that is being promoted.
+
+        Raises:
+            ChangeAbandonedError: The claim is too old, a paused member has
+                restarted, or the platform refused the promotion.
+        """
         ctx = self._ctx
         group = self._group
         members = {n: p.member for n, p in group.pools.items()}
@@ -311,9 +353,9 @@
             yield from self._fence.resume(reports)
             raise _fences.ChangeAbandonedError(str(exc)) from exc
         except _store.StoreUnavailableError as exc:
-            # It may have been taken, also later: the member itself tells, and
-            # the replicas stay paused, so that the old primary acknowledges
-            # nothing that the successor lacks.
+            # The order may still be executed, even later, so only the member
+            # itself can tell. The replicas stay paused meanwhile, so that the
+            # old primary acknowledges nothing that the successor lacks.
             _fences.log_step(
                 self._group, "unanswered", token, successor, str(exc)
             )
@@ -322,10 +364,15 @@
     def _await_leader(
         self, successor: str, token: int
     ) -> "decisions.Flow[None]":
+        """Waits until the promoted member leads.
+
+        Raises:
+            ChangeAbandonedError: It does not lead in time.
+        """
         ctx = self._ctx
         group = self._group
-        begun = ctx.clock.now()
-        while ctx.clock.now() - begun < self._patience_s:
+        started_at = ctx.clock.now()
+        while ctx.clock.now() - started_at < self._promote_wait_s:
             group.expect_change()
             pool = group.pools.get(successor)
             if pool is None:
@@ -340,10 +387,10 @@
                 if report.role is _members.Role.PRIMARY:
                     self._announce(successor, report.term, token)
                     return
-            yield decisions.sleep(ctx.clock, POLL_S)
-        # Perhaps promotions take longer here: another order would only begin
-        # the wait anew.
-        self._patience_s = min(MOST_PATIENCE_S, 2 * self._patience_s)
+            yield decisions.sleep(ctx.clock, LEADER_POLL_S)
+        # Promotions may take longer on this platform. Another order would only
+        # restart the wait, so the next attempt waits longer.
+        self._promote_wait_s = min(MAX_PROMOTE_WAIT_S, 2 * self._promote_wait_s)
         raise _fences.ChangeAbandonedError(f"{successor} does not lead")
 
     def _announce(self, successor: str, term: int, token: int) -> None:
@@ -362,9 +409,10 @@
 
 
 def _unanswered_s(pool: _pools.Pool | None) -> float:
-    """Returns for how long a primary has answered nobody, as far as known.
+    """Returns for how long a primary has answered neither this node nor a peer.
 
-    Members that take long for a statement are given longer.
+    It is 0 until the contact counts as unresponsive, which takes longer for a
+    member that needs long for a statement.
     """
     if pool is None or not pool.contact.is_quiet:
         return 0.0
--- a/packages/proxy/src/ferry_proxy/_proxy.py
+++ b/packages/proxy/src/ferry_proxy/_proxy.py
@@ -324,7 +324,7 @@
 
     def _check(self) -> None:
         self._currency.look()
-        self.reach.judge()
+        self.reach.evaluate()
         self._allowances.check()
         self._groups.check()
         if self._needs_seeds:
--- a/packages/proxy/src/ferry_proxy/_reachability.py
+++ b/packages/proxy/src/ferry_proxy/_reachability.py
@@ -1,9 +1,9 @@
-"""Whether a node's callers are better off at other nodes.
+"""Detects that a node's callers are better served by other nodes.
 
-Answers partitions: a node on the small side of one serves less than the others
-do, and the balancer sends callers elsewhere once it says so. A node must not
-say so for a trouble that all nodes share, such as a crashed primary, so each
-sign here also shows that others fare better.
+In a partition, a node on the minority side can serve less than the others do.
+Once it reports itself as cut off, the load balancer sends callers elsewhere.
+It must not do so for a failure that affects all nodes alike, such as a crashed
+primary, so each criterion here also shows that other nodes are better off.
 """
 
 from collections.abc import Collection
@@ -15,16 +15,20 @@
 from ferry_proxy import _mesh
 from ferry_proxy import _policy
 
-MOST = 0.5  # Of the peers, or of the groups.
-CUT_OFF_S = 1.5  # Longer than a link takes to be opened and lost again.
+# A node is isolated if it reaches less than this share of its peers, and at
+# least this share of the groups is not served.
+MAJORITY_SHARE = 0.5
+# A node stays cut off for this long after the last sign of it. Opening a link
+# and losing it again takes less.
+CUT_OFF_S = 1.5
 
 
 def others_reach_primary(group: _groups.Group, limit_s: float) -> bool:
-    """Whether other nodes reach the primary, and this one does not.
+    """Whether other nodes reach the primary while this one does not.
 
     Args:
         group: The group.
-        limit_s: For how long, in seconds.
+        limit_s: For how long this must have lasted, in seconds.
     """
     pool = group.leader_pool
     if (
@@ -45,38 +49,38 @@
 def reaches_primary_only(group: _groups.Group, limit_s: float) -> bool:
     """Whether this node reaches the primary, but none of its replicas.
 
-    Where peers are out of reach too, the replicas are with them, and they have
-    chosen another primary or will.
+    If peers are unreachable too, the replicas are on their side of a
+    partition, where another primary has been promoted or will be.
 
     Args:
         group: The group.
-        limit_s: For how long, in seconds.
+        limit_s: For how long this must have lasted, in seconds.
     """
     leader = group.leader_pool
     if leader is None or leader.contact.troubled_s > 0:
         return False
-    others = [p for p in group.pools.values() if p is not leader]
-    lost = all(p.contact.troubled_s > limit_s for p in others)
-    return bool(others) and lost and group.floor_age_s > limit_s
+    replicas = [p for p in group.pools.values() if p is not leader]
+    replicas_lost = all(p.contact.troubled_s > limit_s for p in replicas)
+    return bool(replicas) and replicas_lost and group.floor_age_s > limit_s
 
 
 class Groups(typing.Protocol):
-    """What is needed of the groups of a node."""
+    """The view of a node's groups that reachability depends on."""
 
     @property
     def plans(self) -> Collection[str]:
-        """All groups, by name."""
+        """The names of all groups of the fleet."""
 
     @property
     def groups(self) -> "dict[str, _groups.Group]":
         """The groups that this node serves, by name."""
 
     def can_serve(self, service: str) -> bool:
-        """Whether this node reaches a primary that is known to lead."""
+        """Whether this node reaches a confirmed primary of a group."""
 
 
 class Reachability:
-    """The judgement of one node on what it reaches."""
+    """Evaluates whether this node is cut off from groups or peers."""
 
     def __init__(
         self,
@@ -96,7 +100,7 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether callers are better off at other nodes."""
+        """Whether callers are better served by other nodes."""
         return self._clock.now() < self._cut_off_until
 
     @property
@@ -104,22 +108,22 @@
         """The groups that other nodes serve and this node has lost."""
         return sorted(self._missed)
 
-    def judge(self) -> None:
-        """Weighs the signs, a few times a second.
+    def evaluate(self) -> None:
+        """Updates the state; called a few times a second.
 
-        Once a node is cut off, it stays so for a while or until every group
-        has a fresh floor: what shows the trouble comes and goes as links do.
+        A node that is cut off stays so for `CUT_OFF_S` or until every group is
+        served. The criteria alone would flap, as links are opened and lost.
         """
         unserved = self._unserved()
         reached = self._mesh.reached_share(self._limit_s)
         self._missed = {n for n in unserved if self._is_missed(n, reached)}
-        if self._missed or self._is_apart(unserved, reached):
+        if self._missed or self._is_isolated(unserved, reached):
             self._cut_off_until = self._clock.now() + CUT_OFF_S
         elif not unserved:
             self._cut_off_until = float("-inf")
 
     def _unserved(self) -> list[str]:
-        """Returns the groups that neither this node nor a peer serves well."""
+        """Returns the groups that neither this node nor a peer can serve."""
         return [
             name
             for name in self._groups.plans
@@ -128,10 +132,10 @@
         ]
 
     def _is_missed(self, service: str, reached: float) -> bool:
-        """Whether others serve a group that this node has lost.
+        """Whether other nodes serve a group that this node has lost.
 
-        A node without links to the group's members goes by the word of those
-        that have some: it cannot see for itself that others fare better.
+        A node without links to the group's members cannot see this itself, so
+        it relies on the reports of the group's serving nodes.
         """
         group = self._groups.groups.get(service)
         if group is None:
@@ -140,7 +144,9 @@
             return True
         return reached < 1.0 and reaches_primary_only(group, self._limit_s)
 
-    def _is_apart(self, unserved: list[str], reached: float) -> bool:
-        """Whether most peers and most groups are out of reach."""
-        known = len(self._groups.plans)
-        return reached < MOST and len(unserved) >= max(1, MOST * known)
+    def _is_isolated(self, unserved: list[str], reached: float) -> bool:
+        """Whether most peers are unreachable and most groups unserved."""
+        known_groups = len(self._groups.plans)
+        return reached < MAJORITY_SHARE and len(unserved) >= max(
+            1, MAJORITY_SHARE * known_groups
+        )
--- a/packages/proxy/src/ferry_proxy/_served_groups.py
+++ b/packages/proxy/src/ferry_proxy/_served_groups.py
@@ -1,4 +1,4 @@
-"""The groups that this node serves, kept in line with the store."""
+"""The groups that this node serves, updated from the copy of the store."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -24,27 +24,31 @@
 from ferry_proxy import _store
 from ferry_proxy import _surveys
 
-SETTLE_S = 2.0  # Streams to peers open within a second, with one retry.
-RETIRE_S = 8.0  # Commits of transactions that are open here can be proved.
+# A node that has just started counts all serving nodes as present for this
+# long. Streams to peers open within a second, with one retry.
+STARTUP_S = 2.0
+# A node keeps a group that other nodes serve now for this long, so that
+# commits of its open transactions can still be confirmed.
+RETIREMENT_S = 8.0
 
 
 @attrs.frozen(slots=True)
 class GroupsContext:
-    """What the groups of a node work with.
+    """The dependencies of a node's groups.
 
     Attributes:
         clock: The clock.
-        policy: The tunables.
-        own: This node.
-        catalogue: The copy of the store.
-        nodes: Returns the nodes that count, by name.
+        policy: The tunable limits and intervals.
+        own: This node's entry.
+        catalogue: The local copy of the store.
+        nodes: Returns the nodes that take part in the plans, by name.
         store: The store.
         connector: Opens links to members.
-        promotions: The call that makes a member the primary.
+        promotions: The platform's call that makes a member the primary.
         mesh: The streams to other nodes.
-        metrics: Counts what happens.
-        gate: Lets operations of teams begin, within their limits.
-        is_stopping: Whether this node is about to end.
+        metrics: Receives counters and gauges.
+        gate: Admits the operations of teams, within their limits.
+        is_stopping: Returns whether this node is shutting down.
     """
 
     clock: _clocks.Clock
@@ -63,15 +67,15 @@
 
 @attrs.define(slots=True, eq=False)
 class ServedGroup:
-    """A group that this node serves, and what works on it.
+    """A group that this node serves, with the objects that work on it.
 
     Attributes:
-        group: The members.
-        promoter: Replaces its primary when it has to be.
-        surveys: Keeps its floor up to date.
-        runner: Runs its statements.
-        retires_at: When this node, no longer one of its serving nodes, lets
-            it go; None while it is one.
+        group: The group's members and links.
+        promoter: Replaces the primary when necessary.
+        surveys: Keeps the floor up to date.
+        runner: Runs the group's statements.
+        retires_at: When this node drops the group, as it is no longer one of
+            its serving nodes; None while it is one.
     """
 
     group: _groups.Group
@@ -85,10 +89,10 @@
 
 
 class ServedGroups:
-    """All groups' plans, and the groups that this node serves.
+    """The plans of all groups, and the groups that this node serves.
 
     Attributes:
-        keepers: The nodes that count what teams ask for.
+        keepers: The nodes that own the teams' token buckets.
     """
 
     def __init__(self, ctx: GroupsContext) -> None:
@@ -96,14 +100,14 @@
         self._executor = _execution.Executor(ctx.clock, ctx.policy)
         self._served: dict[str, ServedGroup] = {}
         self._plans: dict[str, _serving_plan.ServingPlan] = {}
-        self._planned: _PlanInputs | None = None
+        self._plan_inputs: _PlanInputs | None = None
         self._planner: _serving_plan.Planner | None = None
-        self._begun = ctx.clock.now()
+        self._started_at = ctx.clock.now()
         self.keepers = _allowances.Keepers()
 
     @property
     def plans(self) -> Mapping[str, _serving_plan.ServingPlan]:
-        """Who serves which group."""
+        """The plans of all groups, by the group's name."""
         return self._plans
 
     @property
@@ -113,15 +117,15 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a change of primary is under way here."""
+        """Whether this node is changing the primary of a group."""
         return any(s.promoter.is_busy for s in self._served.values())
 
     def find(self, service: str) -> ServedGroup | None:
-        """Returns a group that this node serves."""
+        """Returns a group, or None if this node does not serve it."""
         return self._served.get(service)
 
     def can_serve(self, service: str) -> bool:
-        """Whether this node reaches a primary that is known to lead."""
+        """Whether this node reaches a confirmed primary of a group."""
         served = self._served.get(service)
         if served is None or self._ctx.is_stopping():
             return False
@@ -130,57 +134,58 @@
         return has_confirmed_leader(served.group, self._ctx.policy.isolated_s)
 
     def peers(self) -> list[_records.NodeEntry]:
-        """Returns the nodes that a serving node speaks to.
+        """Returns the nodes that this node needs streams to.
 
-        They serve a group together with it, or count what teams ask for.
+        They serve a group together with this node, or own the teams' token
+        buckets.
         """
-        found = {
+        peers_by_name = {
             node.name: node
             for service in self._served
             if service in self._plans
             for node in self._plans[service].nodes.values()
         }
-        if found and self._ctx.policy.has_teams:
+        if peers_by_name and self._ctx.policy.has_teams:
             nodes = self._ctx.nodes()
             names = self.keepers.names
-            found.update({n: nodes[n] for n in names if n in nodes})
-        found.pop(self._ctx.own.name, None)
-        return list(found.values())
+            peers_by_name.update({n: nodes[n] for n in names if n in nodes})
+        peers_by_name.pop(self._ctx.own.name, None)
+        return list(peers_by_name.values())
 
-    # -- what the catalogue says -----------------------------------------
+    # -- updates from the catalogue --------------------------------------
 
     def apply(self, cfg: _configuration.Configuration) -> None:
-        """Brings all groups in line with the catalogue."""
+        """Updates all plans and served groups from the catalogue."""
         by_service: dict[str, dict[str, _members.Member]] = {}
         for member in self._ctx.catalogue.members.values():
             by_service.setdefault(member.service, {})[member.id] = member
-        self._make_plans(cfg)
+        self._update_plans(cfg)
         for name, service in cfg.services.items():
-            if self._is_mine(name) or name in self._served:
+            if self._is_served_here(name) or name in self._served:
                 self._apply_service(service, by_service.get(name, {}))
         for name, served in self._served.items():
-            if self._is_mine(name):
+            if self._is_served_here(name):
                 served.retires_at = None
             elif served.retires_at is None:
-                served.retires_at = self._ctx.clock.now() + RETIRE_S
-        self._expect_changes()
+                served.retires_at = self._ctx.clock.now() + RETIREMENT_S
+        self._expect_claimed_changes()
 
-    def _is_mine(self, service: str) -> bool:
+    def _is_served_here(self, service: str) -> bool:
         plan = self._plans.get(service)
         return plan is not None and self._ctx.own.name in plan.nodes
 
-    def _make_plans(self, cfg: _configuration.Configuration) -> None:
-        """Plans anew where nodes, groups or their connections have changed.
+    def _update_plans(self, cfg: _configuration.Configuration) -> None:
+        """Makes new plans if nodes, groups or connection limits have changed.
 
-        Most changes of the store are of none of these, and a plan of 10
-        groups among 195 nodes takes 4 ms of a core (timed apart).
+        Most changes of the store affect none of them, and planning 10 groups
+        among 195 nodes takes 4 ms of a core.
         """
         own = self._ctx.own
         nodes = {**self._ctx.nodes(), own.name: own}
         limits = {n: s.max_connections for n, s in cfg.services.items()}
-        if (nodes, limits) == self._planned:
+        if (nodes, limits) == self._plan_inputs:
             return
-        self._planned = (nodes, limits)
+        self._plan_inputs = (nodes, limits)
         planner = _serving_plan.Planner(
             nodes.values(),
             len(limits),
@@ -204,14 +209,16 @@
     ) -> None:
         served = self._served.get(service.name) or self._add(service)
         group = served.group
-        before = set(group.pools)
-        led = {n for n, p in group.pools.items() if p.member.leads}
+        members_before = set(group.pools)
+        leaders_before = {n for n, p in group.pools.items() if p.member.leads}
         group.service = service
         plan = self._plans[service.name]
-        sharing = self._sharing(service.name, self._heard())
-        group.set_members(members, plan.links, sharing)
-        leads = {n for n, m in members.items() if m.leads}
-        if before != members.keys() or leads != led:
+        sharing_nodes = self._count_sharing_nodes(
+            service.name, self._recently_heard()
+        )
+        group.set_members(members, plan.links, sharing_nodes)
+        leaders = {n for n, m in members.items() if m.leads}
+        if members_before != members.keys() or leaders != leaders_before:
             group.refresh()
         served.promoter.check()
 
@@ -221,7 +228,7 @@
         group = _groups.Group(
             ctx.clock, service, ctx.own.data_centre, ctx.connector, ctx.policy
         )
-        mesh = _peers.PeerSubset(ctx.mesh, lambda: self._names(name))
+        mesh = _peers.PeerSubset(ctx.mesh, lambda: self._serving_names(name))
         promoter = _promotions.Promoter(
             self._promoter_context(name, mesh), group
         )
@@ -249,7 +256,7 @@
             clock=ctx.clock,
             policy=ctx.policy,
             node=ctx.own.name,
-            nodes=lambda: self._names(service),
+            nodes=lambda: self._serving_names(service),
             catalogue=ctx.catalogue,
             store=ctx.store,
             promotions=ctx.promotions,
@@ -258,18 +265,18 @@
             is_stopping=ctx.is_stopping,
         )
 
-    def _names(self, service: str) -> set[str]:
-        """Returns the names of a group's serving nodes."""
+    def _serving_names(self, service: str) -> set[str]:
+        """Returns the names of the group's serving nodes."""
         plan = self._plans.get(service)
         return set(plan.nodes) if plan else set()
 
     def _drop(self, service: str) -> None:
-        """Ceases to serve a group; links in use close as they come back."""
+        """Stops serving a group; links in use close once they are released."""
         served = self._served.pop(service)
         served.promoter.stop()
         served.group.set_members({}, 0)
 
-    def _expect_changes(self) -> None:
+    def _expect_claimed_changes(self) -> None:
         ctx = self._ctx
         for service, held in ctx.catalogue.claims.items():
             served = self._served.get(service)
@@ -284,42 +291,47 @@
     # -- periodic work ---------------------------------------------------
 
     def survey(self) -> None:
-        """Brings the floors of all groups up to date, and trims links."""
+        """Updates the floors of all groups, and closes surplus links."""
         for served in self._served.values():
             served.surveys.survey(served.group)
             for pool in served.group.pools.values():
                 pool.trim()
 
     def check(self) -> None:
-        """Weighs the evidence on all primaries, and lets groups go."""
+        """Checks all primaries, and drops the groups whose time is over."""
         now = self._ctx.clock.now()
-        heard = self._heard()
+        heard = self._recently_heard()
         for name, served in list(self._served.items()):
             if served.retires_at is not None and now >= served.retires_at:
                 self._drop(name)
                 continue
-            served.group.share_among(self._sharing(name, heard))
+            served.group.share_among(self._count_sharing_nodes(name, heard))
             served.promoter.check()
 
-    def _heard(self) -> set[str]:
-        """Returns the names of the nodes that were heard lately."""
+    def _recently_heard(self) -> set[str]:
+        """Returns the names of the peers that were heard recently."""
         limit_s = self._ctx.policy.isolated_s
         streams = self._ctx.mesh.by_name.values()
         return {s.peer for s in streams if s.silence_s < limit_s}
 
-    def _sharing(self, service: str, heard: set[str]) -> int:
-        """Returns how many nodes send a group's members statements now.
+    def _count_sharing_nodes(self, service: str, heard: set[str]) -> int:
+        """Returns how many nodes send statements to a group's members now.
 
-        A node that has just begun takes all for present: many may begin
-        together, and would send the members too much.
+        A node that has just started counts all serving nodes as present. Many
+        nodes may start together, and with lower counts they would overload
+        the members.
         """
-        names = self._names(service)
-        if self._ctx.clock.now() - self._begun < SETTLE_S:
+        names = self._serving_names(service)
+        if self._ctx.clock.now() - self._started_at < STARTUP_S:
             return len(names)
         return 1 + len(heard & names - {self._ctx.own.name})
 
     def forgive(self, late_s: float) -> None:
-        """A pause of this process is not held against the members."""
+        """Excludes a pause of this process from the members' silence.
+
+        Args:
+            late_s: How long the pause was, in seconds.
+        """
         policy = self._ctx.policy
         if late_s < policy.probe_timeout_s:
             return
@@ -333,17 +345,18 @@
                 pool.contact.forgive(late_s)
 
     def close(self) -> None:
-        """Closes all links."""
+        """Removes all members, which closes their links."""
         for served in self._served.values():
             served.group.set_members({}, 0)
 
 
 def has_confirmed_leader(group: _groups.Group, limit_s: float) -> bool:
-    """Whether a group's primary is reached and known to lead.
+    """Whether a group's primary is reachable and confirmed to lead.
 
     Args:
         group: The group.
-        limit_s: How old a sign may be, in seconds.
+        limit_s: For how long the links to it may have failed, and how old the
+            floor may be, in seconds.
     """
     pool = group.leader_pool
     if pool is None or pool.contact.troubled_s > limit_s:
--- a/packages/proxy/src/ferry_proxy/_serving_plan.py
+++ b/packages/proxy/src/ferry_proxy/_serving_plan.py
@@ -1,9 +1,10 @@
-"""Which nodes serve a group: hold links to its members and watch them.
+"""Plans which nodes serve a group: hold links to its members and watch them.
 
-Answers fleets that have more nodes than a member takes connections. Where
-every node gets a few links to each member, all nodes serve. Otherwise a few
-nodes of each data centre do, and the others forward statements to them. Pure
-functions of what the store lists, so all nodes agree without asking.
+A fleet may have more nodes than a member accepts connections. If the limit
+allows every node a few links to each member, all nodes serve the group.
+Otherwise a few nodes of each data centre do, and the others forward statements
+to them. A plan is a pure function of what the store lists, so all nodes agree
+on it without communication.
 """
 
 from collections.abc import Collection
@@ -15,25 +16,38 @@
 
 from ferry_proxy import _records
 
-SPARE_NODES = 1  # One more node may come while a leaving one still runs.
-MIN_LINKS = 3  # A transaction, a single statement, a status question.
-SPARE_LINKS = 3  # What a node needs that comes while a leaving one still runs.
-MAX_NEAR = 2  # Serving nodes in a data centre: one may be away.
-STRONG_SHARE = 0.5  # Of the strongest VM: a statement that is served takes
-# twice the processor of one that is passed on, and all its bytes twice. Where
-# VMs differ less, spreading the groups over more of them gains more.
-KEEPERS = ""  # Stands for no group, and ranks nodes like one.
-MOST_GROUPS = 20  # That a strong node serves before all help out: at one round
-# of questions each 0.4 s and 3 members a group, 150 questions a second.
+# A node may join while the one that it replaces is still running.
+JOINING_NODES = 1
+# A serving node needs links for a transaction, a single statement and a status
+# request.
+MIN_LINKS = 3
+# These links to each member stay free for a node that joins while the one that
+# it replaces is still running.
+MIN_RESERVED_LINKS = 3
+# The most serving nodes of a group in one data centre. With two, one of them
+# may be absent.
+MAX_SERVING_NODES = 2
+# A VM counts as strong if it has at least this share of the cores and the
+# bandwidth of the strongest one. Serving a statement takes twice the processor
+# time of forwarding it, and transfers all its bytes twice. If VMs differ by
+# less, spreading the groups over more of them gains more.
+MIN_STRONG_SHARE = 0.5
+# The key that ranks the nodes that own the teams' token buckets. No group has
+# this name.
+BUCKET_OWNERS_KEY = ""
+# If strong nodes would have to serve more groups than this, all nodes of the
+# data centre serve. With a status round each 0.4 s and 3 members in a group,
+# 20 groups are 150 status requests a second.
+MAX_GROUPS_PER_STRONG_NODE = 20
 
 
 @attrs.frozen(slots=True)
 class ServingPlan:
-    """Who serves one group.
+    """The serving nodes of one group.
 
     Attributes:
         nodes: The serving nodes, by name.
-        links: Links to each member that one of them may open.
+        links: How many links each of them may open to each member.
     """
 
     nodes: dict[str, _records.NodeEntry]
@@ -47,118 +61,137 @@
 class Planner:
     """Chooses the serving nodes of all groups of a fleet.
 
-    What a node that comes or goes does not touch is taken over from the
-    planner before: with 410 nodes and 740 groups a plan takes 0.7 s of a core
-    from nothing, and 0.02 s where one node has changed.
+    Choices that a joining or leaving node does not affect are reused from the
+    previous planner. With 410 nodes and 740 groups, planning from scratch
+    takes 0.7 s of a core, and 0.02 s after a change of one node.
     """
 
     def __init__(
         self,
         nodes: Collection[_records.NodeEntry],
         groups: int,
-        before: "Planner | None" = None,
+        previous: "Planner | None" = None,
         has_teams: bool = False,
     ) -> None:
-        """Sorts the nodes by data centre and strength.
+        """Groups the nodes by data centre and strength.
 
         Args:
             nodes: All nodes of the fleet.
             groups: How many groups they serve.
-            before: The planner of a moment ago.
-            has_teams: Whether links belong to teams, so that all are open at
-                all times. One for each node then stays free: after a loss of
-                power the old ones linger for 3 s.
+            previous: The planner that this one replaces, to reuse its choices.
+            has_teams: Whether links belong to teams. All links are then open
+                at all times, and one for each node is reserved, as the old
+                links of a node that lost power linger for 3 s.
         """
         self._has_teams = has_teams
         self._nodes = list(nodes)
-        by_place: dict[str, list[_records.NodeEntry]] = {}
+        by_data_centre: dict[str, list[_records.NodeEntry]] = {}
         for node in self._nodes:
-            by_place.setdefault(node.data_centre, []).append(node)
-        known: dict[str, _Place] = before._places if before else {}
-        self._places: dict[str, _Place] = {
-            name: _place(by_place[name], groups, known.get(name))
-            for name in sorted(by_place)
+            by_data_centre.setdefault(node.data_centre, []).append(node)
+        reusable: dict[str, _DataCentre] = (
+            previous._data_centres if previous else {}
+        )
+        self._data_centres: dict[str, _DataCentre] = {
+            name: _make_data_centre(
+                by_data_centre[name], groups, reusable.get(name)
+            )
+            for name in sorted(by_data_centre)
         }
 
     def keepers(self) -> frozenset[str]:
-        """Returns the names of the nodes that count what teams ask for.
+        """Returns the names of the nodes that own the teams' token buckets.
 
-        As many as serve a group, and the same where few nodes are strong, so
-        that what runs a team's statements can count them.
+        They are as many as serve a group. If few nodes are strong, they are
+        the same nodes, so that the node that runs a team's statements can also
+        count them.
         """
         return frozenset(
             node.name
-            for place in self._places.values()
-            for node in place.first(KEEPERS, MAX_NEAR)
+            for data_centre in self._data_centres.values()
+            for node in data_centre.preferred(
+                BUCKET_OWNERS_KEY, MAX_SERVING_NODES
+            )
         )
 
     def plan(self, service: str, max_connections: int) -> ServingPlan:
-        """Returns who serves a group.
+        """Returns the serving nodes of a group.
 
         Args:
             service: The group's name.
-            max_connections: Connections that a member takes, of all nodes.
+            max_connections: How many connections a member accepts from all
+                nodes together.
         """
         chosen = self._nodes
-        if max_connections // (len(chosen) + SPARE_NODES) < MIN_LINKS:
-            wanted = max_connections // MIN_LINKS - SPARE_NODES
-            count = max(1, min(MAX_NEAR, wanted // len(self._places)))
+        if max_connections // (len(chosen) + JOINING_NODES) < MIN_LINKS:
+            wanted = max_connections // MIN_LINKS - JOINING_NODES
+            count = max(
+                1,
+                min(
+                    MAX_SERVING_NODES,
+                    wanted // len(self._data_centres),
+                ),
+            )
             chosen = [
                 n
-                for place in self._places.values()
-                for n in place.first(service, count)
+                for data_centre in self._data_centres.values()
+                for n in data_centre.preferred(service, count)
             ]
-        spare = SPARE_LINKS
+        reserved_links = MIN_RESERVED_LINKS
         if self._has_teams:
-            spare = max(SPARE_LINKS, len(chosen))
-        links = max(1, (max_connections - spare) // len(chosen))
+            reserved_links = max(MIN_RESERVED_LINKS, len(chosen))
+        links = max(1, (max_connections - reserved_links) // len(chosen))
         return ServingPlan({n.name: n for n in chosen}, links)
 
 
-def _place(
-    nodes: list[_records.NodeEntry], groups: int, before: "_Place | None"
-) -> "_Place":
-    """Returns the nodes of a data centre; the object before if it is alike."""
+def _make_data_centre(
+    nodes: list[_records.NodeEntry], groups: int, previous: "_DataCentre | None"
+) -> "_DataCentre":
+    """Returns the nodes of a data centre.
+
+    It is the previous object if that selects the same nodes.
+    """
     strong = strong_nodes(nodes)
-    needed = math.ceil(groups * MAX_NEAR / MOST_GROUPS)
-    place = _Place(nodes, strong if len(strong) >= needed else nodes, before)
-    if before is not None and before.is_like(place):
-        return before
-    return place
+    needed = math.ceil(groups * MAX_SERVING_NODES / MAX_GROUPS_PER_STRONG_NODE)
+    data_centre = _DataCentre(
+        nodes, strong if len(strong) >= needed else nodes, previous
+    )
+    if previous is not None and previous.selects_like(data_centre):
+        return previous
+    return data_centre
 
 
-class _Place:
+class _DataCentre:
     """The nodes of one data centre."""
 
     def __init__(
         self,
         nodes: list[_records.NodeEntry],
         candidates: list[_records.NodeEntry],
-        before: "_Place | None",
+        previous: "_DataCentre | None",
     ) -> None:
-        """Takes over what was chosen before.
+        """Prepares the selection, with the previous choices to reuse.
 
         Args:
             nodes: All nodes of the data centre.
-            candidates: Those that serve groups first.
-            before: The data centre a moment ago.
+            candidates: The nodes that are preferred as serving nodes.
+            previous: The data centre in the previous plan.
         """
         self._candidates = set(candidates)
-        self._others = [n for n in nodes if n not in self._candidates]
-        known = before._candidates if before else set()
-        self._added = self._candidates - known
-        self._before = before._chosen if before else {}
+        self._fallback = [n for n in nodes if n not in self._candidates]
+        previous_candidates = previous._candidates if previous else set()
+        self._new_candidates = self._candidates - previous_candidates
+        self._previously_chosen = previous._chosen if previous else {}
         self._chosen: dict[tuple[str, int], list[_records.NodeEntry]] = {}
 
-    def is_like(self, other: "_Place") -> bool:
-        """Whether both choose the same nodes for every group."""
+    def selects_like(self, other: "_DataCentre") -> bool:
+        """Whether both select the same nodes for every group."""
         return (
             self._candidates == other._candidates
-            and self._others == other._others
+            and self._fallback == other._fallback
         )
 
-    def first(self, service: str, count: int) -> list[_records.NodeEntry]:
-        """Returns the nodes that serve a group; strong ones come first."""
+    def preferred(self, service: str, count: int) -> list[_records.NodeEntry]:
+        """Returns the `count` nodes that rank first, candidates foremost."""
         key = (service, count)
         if key not in self._chosen:
             self._chosen[key] = self._choose(service, count)
@@ -166,13 +199,13 @@
 
     def _choose(self, service: str, count: int) -> list[_records.NodeEntry]:
         rank = functools.partial(_rank, service)
-        known = self._before.get((service, count), ())
-        if len(known) == count and self._candidates.issuperset(known):
-            # Only those that came since can rank before these.
-            return sorted({*known, *self._added}, key=rank)[:count]
+        reusable = self._previously_chosen.get((service, count), ())
+        if len(reusable) == count and self._candidates.issuperset(reusable):
+            # Only candidates that were added since can rank before these.
+            return sorted({*reusable, *self._new_candidates}, key=rank)[:count]
         chosen = sorted(self._candidates, key=rank)[:count]
         if len(chosen) < count:
-            chosen += sorted(self._others, key=rank)[: count - len(chosen)]
+            chosen += sorted(self._fallback, key=rank)[: count - len(chosen)]
         return chosen
 
 
@@ -183,8 +216,8 @@
 def strong_nodes(
     nodes: Collection[_records.NodeEntry],
 ) -> list[_records.NodeEntry]:
-    """Returns those that have about as much as the best in each respect."""
-    cores = max(n.cores for n in nodes) * STRONG_SHARE
-    link_mbps = max(n.link_mbps for n in nodes) * STRONG_SHARE
+    """Returns the nodes whose cores and bandwidth are near the greatest."""
+    cores = max(n.cores for n in nodes) * MIN_STRONG_SHARE
+    link_mbps = max(n.link_mbps for n in nodes) * MIN_STRONG_SHARE
     strong = [n for n in nodes if n.cores >= cores and n.link_mbps >= link_mbps]
     return strong or list(nodes)
--- a/packages/proxy/src/ferry_proxy/_surveys.py
+++ b/packages/proxy/src/ferry_proxy/_surveys.py
@@ -1,13 +1,14 @@
-"""Who asks the members for their status, and how the others learn of it.
+"""Status rounds of a group, and how the result reaches the other nodes.
 
-Each question costs a member a slot for a moment, and nodes are many. So one
-node asks for each group, and the others ask that node: the first by rendezvous
-hashing among those that are connected. Where nodes differ about who that is,
-a group is asked by two for a while, which does no harm.
+A status request occupies one of a member's slots for a moment, and nodes are
+many. So one node, the surveyor, asks the members of a group, and the others
+ask the surveyor. It is the first of the connected nodes by rendezvous hashing.
+If nodes disagree about which one that is, two of them ask the members for a
+while, which does no harm.
 
-A node asks that one just after its round. Were it asked at any time, floors
-here would be up to two pauses old, 0.8 s, and a node counts as serving well
-with floors of 0.7 s: a quarter of all pairs of nodes would flap.
+The surveyor is asked just after its round. At arbitrary times, floors here
+would be up to two intervals old, 0.8 s. A node can serve a group only with a
+floor younger than 0.7 s, so a quarter of all pairs of nodes would flap.
 """
 
 import ferry_decisions as decisions
@@ -19,13 +20,18 @@
 from ferry_proxy import _peer_messages
 from ferry_proxy import _peers
 
-SURVEY_WAIT_S = 0.2  # A peer answers in a few milliseconds.
-ROUND_S = 0.04  # Calm members answer a round in 5 ms, busy ones in 30 ms.
-TICK_LIMIT_S = 1.0  # A group that is no longer surveyed is not asked about.
+# A peer answers in a few milliseconds.
+SURVEY_TIMEOUT_S = 0.2
+# Allows for the surveyor's round: idle members answer it in 5 ms, busy ones in
+# 30 ms.
+SURVEYOR_ROUND_S = 0.04
+# Requests end this long after the last call of `survey`, when the group is no
+# longer served here.
+MAX_TICK_AGE_S = 1.0
 
 
 class Surveys:
-    """The rounds of one node, its own and those of its peers."""
+    """Keeps the floor of one group up to date at one node."""
 
     def __init__(
         self,
@@ -34,7 +40,7 @@
         mesh: _peers.Peers,
         pause_s: float,
     ) -> None:
-        """Makes the surveys of one group.
+        """Creates the surveys of one group.
 
         Args:
             clock: The clock.
@@ -46,52 +52,58 @@
         self._node = node
         self._mesh = mesh
         self._pause_s = pause_s
-        self._planned: decisions.Timer | None = None
-        self._ticked_at = float("-inf")
+        self._next_request: decisions.Timer | None = None
+        self._last_tick_at = float("-inf")
 
     def survey(self, group: _groups.Group) -> None:
-        """Brings a group's floor up to date, by a round or by a peer."""
-        self._ticked_at = self._clock.now()
+        """Updates a group's floor, by a status round or from the surveyor."""
+        self._last_tick_at = self._clock.now()
         stream = self._surveyor(group)
         if stream is None or group.is_troubled:
-            # Only this node's own question can end its own trouble.
+            # A failed contact of this node ends only with an answer to a
+            # request of its own.
             group.refresh()
-        if stream is not None and not self._is_planned:
+        if stream is not None and not self._is_request_planned:
             self._ask(group, stream)
 
     @property
-    def _is_planned(self) -> bool:
-        return self._planned is not None and self._planned.callback is not None
+    def _is_request_planned(self) -> bool:
+        return (
+            self._next_request is not None
+            and self._next_request.callback is not None
+        )
 
     def _ask(self, group: _groups.Group, stream: _peers.Peer) -> None:
         asked_at = self._clock.boot_now()
         question = _peer_messages.SurveyRequest(group.service.name)
         fut = decisions.within(
-            self._clock, SURVEY_WAIT_S, stream.call(question)
+            self._clock, SURVEY_TIMEOUT_S, stream.call(question)
         )
-        fut.add_done_callback(lambda f: self._take(group, asked_at, f))
+        fut.add_done_callback(lambda f: self._apply_reply(group, asked_at, f))
 
-    def _plan(self, group: _groups.Group, age_s: float) -> None:
-        """Asks again just after the peer's next round.
+    def _plan_request(self, group: _groups.Group, age_s: float) -> None:
+        """Plans a request for the time just after the surveyor's next round.
 
         Args:
             group: The group.
-            age_s: The age of the floor that the peer has told just now.
+            age_s: The age of the floor in the surveyor's last reply.
         """
-        left_s = self._pause_s - age_s + ROUND_S
+        delay_s = self._pause_s - age_s + SURVEYOR_ROUND_S
         is_late = age_s > self._pause_s
-        is_left = self._clock.now() - self._ticked_at > TICK_LIMIT_S
-        if is_late or is_left or self._is_planned:
-            return  # The next call of `survey` asks.
-        self._planned = self._clock.after(left_s, lambda: self._again(group))
+        is_abandoned = self._clock.now() - self._last_tick_at > MAX_TICK_AGE_S
+        if is_late or is_abandoned or self._is_request_planned:
+            return  # The next call of `survey` sends a request.
+        self._next_request = self._clock.after(
+            delay_s, lambda: self._ask_surveyor(group)
+        )
 
-    def _again(self, group: _groups.Group) -> None:
+    def _ask_surveyor(self, group: _groups.Group) -> None:
         stream = self._surveyor(group)
         if stream is not None:
             self._ask(group, stream)
 
     def answer(self, group: _groups.Group) -> _peer_messages.SurveyReply:
-        """Returns what this node knows of a group, for a peer."""
+        """Returns the reply to a peer's request about a group."""
         leader = group.leader
         pool = group.leader_pool
         sample = group.floors.newest
@@ -107,15 +119,15 @@
         )
 
     def _surveyor(self, group: _groups.Group) -> _peers.Peer | None:
-        """Returns the stream to the node that asks; None for this node."""
+        """Returns the stream to the surveyor; None if that is this node."""
         streams = {s.peer: s for s in self._mesh.streams}
-        first = min(
+        surveyor = min(
             [self._node, *streams],
             key=lambda n: decisions.rendezvous_score(group.service.name, n),
         )
-        return streams.get(first)
+        return streams.get(surveyor)
 
-    def _take(
+    def _apply_reply(
         self,
         group: _groups.Group,
         asked_at: float,
@@ -124,14 +136,16 @@
         exc = fut.exception()
         reply = None if exc is not None else fut.result()
         if not isinstance(reply, _peer_messages.SurveyReply) or reply.age_s < 0:
-            group.refresh()  # That peer is of no use: ask the members.
+            # The surveyor has no floor to offer, so the members are asked.
+            group.refresh()
             return
         leader = _members.Leader(reply.member, reply.term)
-        # The answer was sent after the question, so the floor is no older.
+        # The reply was sent after the request, so the floor is no older than
+        # its age at sending, counted from the time of the request.
         sample = _freshness.Sample(
             asked_at - reply.age_s,
             decisions.Position(reply.floor_term, reply.floor_index),
         )
         heard = self._clock.now() - reply.heard_ago_s
         group.take_survey(leader, sample, heard)
-        self._plan(group, reply.age_s)
+        self._plan_request(group, reply.age_s)
--- a/packages/proxy/src/ferry_proxy/tests/test_peers.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Signs of life between nodes, over streams without a network."""
+"""Pings between nodes, over streams without a network."""
 
 import random
 import typing
@@ -14,11 +14,11 @@
 from ferry_proxy import _records
 
 GROUPS = [f"group{n}" for n in range(10)]
-CALM = _peer_messages.Ping(0, 17, 3, 0.5, GROUPS, [])
+IDLE_PING = _peer_messages.Ping(0, 17, 3, 0.5, GROUPS, [])
 
 
 class FakeLoop:
-    """Time that the test sets."""
+    """A clock that the test sets."""
 
     def __init__(self) -> None:
         self.time = 100.0
@@ -28,7 +28,7 @@
 
 
 class FakeStream:
-    """One end of a pair: what it sends arrives at the other at once."""
+    """One end of a pair; what it sends arrives at the other end at once."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -37,7 +37,7 @@
         self.other: FakeStream | None = None
 
     def on_data(self, data: bytes) -> None:
-        """Is replaced by the stream's owner."""
+        """Does nothing; the stream's owner replaces it."""
 
     def send(self, data: bytes) -> None:
         self.sent.append(data)
@@ -53,9 +53,9 @@
 
 @attrs.define
 class FakeMessageHandler(_peers.NullMessageHandler):
-    """Describes its node as the test says."""
+    """Describes its node and replies as the test says."""
 
-    ping: _peer_messages.Ping = CALM
+    ping: _peer_messages.Ping = IDLE_PING
     reply: typing.Any = None
 
     def describe(self) -> _peer_messages.Ping:
@@ -66,30 +66,30 @@
 
 
 class Pair:
-    """Two nodes with a stream between them; `sender` tells of itself."""
+    """Two nodes with a stream between them; `sender` sends the pings."""
 
     def __init__(self, timers: typing.Any = None) -> None:
         self.loop = timers or typing.cast(typing.Any, FakeLoop())
-        self.desk = FakeMessageHandler()
+        self.handler = FakeMessageHandler()
         far = typing.cast(typing.Any, FakeStream())
         self.raw = typing.cast(typing.Any, FakeStream())
         self.raw.other, far.other = far, self.raw
-        self.named: list[str] = []
+        self.names_seen: list[str] = []
         self.receiver = _peers.PeerStream(
-            self.loop, far, "b", _peers.NullMessageHandler(), self._note
+            self.loop, far, "b", _peers.NullMessageHandler(), self._record_name
         )
         self.sender = _peers.PeerStream(
-            self.loop, self.raw, "a", self.desk, lambda: None
+            self.loop, self.raw, "a", self.handler, lambda: None
         )
 
-    def _note(self) -> None:
-        self.named.append(self.receiver.peer)
+    def _record_name(self) -> None:
+        self.names_seen.append(self.receiver.peer)
 
     def tick(self, **changes) -> bytes:
-        """Lets the sender show life after half a second; returns the bytes."""
+        """Sends a ping half a second later and returns its bytes."""
         self.loop.time += 0.5
-        self.desk.ping = attrs.evolve(self.desk.ping, **changes)
-        self.sender.tick(_peers.EncodedPing.of(self.desk.ping))
+        self.handler.ping = attrs.evolve(self.handler.ping, **changes)
+        self.sender.tick(_peers.EncodedPing.of(self.handler.ping))
         return bytes(self.raw.sent[-1])
 
     @property
@@ -115,7 +115,7 @@
     pair = Pair()
     pair.tick()
     pair.tick(**changes)
-    ping = pair.desk.ping
+    ping = pair.handler.ping
     expected = (
         ping.newest,
         ping.version,
@@ -128,9 +128,9 @@
 
 
 def test_pings_of_calm_nodes_are_short():
-    """89 bytes each before, 10 since."""
+    """Unchanged state takes 10 bytes for each ping; full pings took 89."""
     pair = Pair()
-    assert len(_peer_messages.encode(0, CALM)) > 80
+    assert len(_peer_messages.encode(0, IDLE_PING)) > 80
     assert all(len(pair.tick()) <= 10 for _ in range(5))
 
 
@@ -143,19 +143,19 @@
 
 
 def test_a_peer_that_waits_for_an_answer_is_shown_life():
-    """Whatever the statement takes, its node is not taken for gone."""
+    """A node that works on a long statement is not taken for lost."""
     timers = decisions.VirtualTimers()
     pair = Pair(timers)
     answer: decisions.Future[_peer_messages.Message] = decisions.Future()
-    pair.desk.reply = answer
+    pair.handler.reply = answer
     ticker = decisions.Ticker(timers, 0.1)
     mesh = _mesh.Mesh(pair.loop, _records.NodeEntry("a", "h", 1))
-    mesh._desk = pair.desk
+    mesh._handler = pair.handler
     pair.sender.peer = "b"
-    mesh._in.append(pair.sender)
-    ticker.subscribe(_mesh.OWING_PING_S, mesh._show_life)
-    pulse = _peers.EncodedPing.of(CALM)
-    ticker.subscribe(_mesh.PING_S, lambda: pair.receiver.tick(pulse))
+    mesh._inbound.append(pair.sender)
+    ticker.subscribe(_mesh.PENDING_REPLY_PING_S, mesh._ping_waiting_peers)
+    ping = _peers.EncodedPing.of(IDLE_PING)
+    ticker.subscribe(_mesh.PING_S, lambda: pair.receiver.tick(ping))
     pair.receiver.call(_peer_messages.SyncRequest(0, 0, 0))
     for _ in range(40):
         timers.advance(0.05)
@@ -169,19 +169,23 @@
 
 def test_a_silent_stream_ends_and_tells_so():
     pair = Pair()
-    assert pair.named == ["a"]
+    assert pair.names_seen == ["a"]
     fut = pair.receiver.call(_peer_messages.SyncRequest(0, 0, 0))
-    pair.loop.time += _peers.SILENT_S + 0.1
-    pair.receiver.tick(_peers.EncodedPing.of(CALM))
+    pair.loop.time += _peers.PEER_TIMEOUT_S + 0.1
+    pair.receiver.tick(_peers.EncodedPing.of(IDLE_PING))
     assert pair.receiver.closed
-    assert len(pair.named) == 2
+    assert len(pair.names_seen) == 2
     assert isinstance(fut.exception(), _peers.PeerLostError)
     assert isinstance(fut, decisions.Future)
 
 
 @pytest.mark.parametrize("size", [7, 75, 195, 410])
 def test_news_pass_the_fleet_though_half_of_it_is_gone(size):
-    """In six hops. With steps of 3 a node was alone in 16 of 100 draws."""
+    """News reach every remaining node within six hops.
+
+    With steps that grow by a factor of 3, a node was isolated in 16 of 100
+    random choices of the remaining nodes.
+    """
     names = [f"n{n:04}" for n in range(size)]
     peers: dict[str, set[str]] = {n: set() for n in names}
     for name in names:
--- a/packages/proxy/src/ferry_proxy/tests/test_promotions.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_promotions.py
@@ -163,12 +163,12 @@
 
 def test_stall_is_seen_only_while_no_replica_receives():
     watch = _fencing.StallDetector()
-    watch.take(report(PRIMARY, 7, 0.0), [report(REPLICA, 5, 0.0)], 0.0)
-    watch.take(report(PRIMARY, 8, 0.5), [report(REPLICA, 5, 0.5)], 0.5)
+    watch.observe(report(PRIMARY, 7, 0.0), [report(REPLICA, 5, 0.0)], 0.0)
+    watch.observe(report(PRIMARY, 8, 0.5), [report(REPLICA, 5, 0.5)], 0.5)
     assert watch.stalled_s == pytest.approx(0.5)
-    watch.take(report(PRIMARY, 9, 1.0), [report(REPLICA, 5, 1.0)], 1.0)
+    watch.observe(report(PRIMARY, 9, 1.0), [report(REPLICA, 5, 1.0)], 1.0)
     assert watch.stalled_s == pytest.approx(1.0)
-    watch.take(report(PRIMARY, 9, 1.5), [report(REPLICA, 7, 1.5)], 1.5)
+    watch.observe(report(PRIMARY, 9, 1.5), [report(REPLICA, 7, 1.5)], 1.5)
     assert watch.stalled_s == 0.0
 
 
--- a/packages/proxy/src/ferry_proxy/tests/test_reachability.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_reachability.py
@@ -1,4 +1,4 @@
-"""Whether a node's callers are better off at other nodes."""
+"""When a node reports that its callers are better served elsewhere."""
 
 import attrs
 import pytest
@@ -15,7 +15,7 @@
 
 @attrs.define
 class FakeGroups:
-    """One group, perhaps served by this node itself."""
+    """The group "orders", which this node may serve itself."""
 
     groups: dict[str, _groups.Group]
     plans: tuple[str, ...] = ("orders",)
@@ -27,6 +27,8 @@
 
 @attrs.define
 class FakeMesh:
+    """A mesh that reaches a given share of the wanted peers."""
+
     share: float = 1.0
     connected: tuple[str, ...] = ()
 
@@ -44,18 +46,22 @@
     ("near", "far", "expected"),
     [
         ((ORDERS, NONE), (ORDERS, NONE), False),
-        ((NONE, NONE), (NONE, NONE), False),  # Perhaps nobody serves it.
+        ((NONE, NONE), (NONE, NONE), False),  # No node may serve it.
         ((NONE, ORDERS), (NONE, NONE), True),
-        ((NONE, ORDERS), (ORDERS, NONE), False),  # One can be asked.
+        ((NONE, ORDERS), (ORDERS, NONE), False),  # One peer still serves it.
     ],
 )
 def test_an_entry_goes_by_the_word_of_serving_nodes(near, far, expected):
-    """It served a third of its callers' routes nothing for 7 s of a cut."""
+    """An entry node relies on the reports of the group's serving nodes.
+
+    Without this, such a node failed all statements on a third of its callers'
+    routes for 7 s of a partition.
+    """
     lab = test_forwarding.EntryLab()
     reach = reach_of(lab, {})
     lab.near.services, lab.near.missed = near
     lab.far.services, lab.far.missed = far
-    reach.judge()
+    reach.evaluate()
     assert reach.is_cut_off is expected
     assert reach.missed == (["orders"] if expected else [])
 
@@ -65,10 +71,10 @@
     reach = reach_of(lab, {})
     lab.near.services, lab.near.missed = NONE, ORDERS
     lab.far.services = NONE
-    reach.judge()
+    reach.evaluate()
     lab.near.silence_s = POLICY.isolated_s + 0.1
     lab.run(_reachability.CUT_OFF_S + 0.1)
-    reach.judge()
+    reach.evaluate()
     assert not reach.is_cut_off
 
 
@@ -76,12 +82,12 @@
     lab = test_forwarding.EntryLab()
     lab.near.services = lab.far.services = NONE
     reach = reach_of(lab, {"orders": lab.group}, share=0.5)
-    reach.judge()
+    reach.evaluate()
     assert reach.missed == []
     for name in "bc":
         lab.cluster.members[name].dark = True
     lab.run(3.0)
-    reach.judge()
+    reach.evaluate()
     assert reach.missed == ["orders"]
 
 
@@ -91,7 +97,7 @@
     reach = reach_of(lab, {"orders": lab.group})
     lab.cluster.crash("a")
     lab.run(2.0)
-    reach.judge()
+    reach.evaluate()
     assert not reach.is_cut_off
 
 
@@ -100,5 +106,5 @@
     lab = test_forwarding.EntryLab()
     lab.near.services = lab.far.services = NONE
     reach = reach_of(lab, {}, share)
-    reach.judge()
+    reach.evaluate()
     assert reach.is_cut_off is expected
--- a/packages/proxy/src/ferry_proxy/tests/test_served_groups.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_served_groups.py
@@ -1,4 +1,4 @@
-"""Which groups a node serves, as nodes come and go."""
+"""Which groups a node serves while nodes join and leave."""
 
 import attrs
 import ferry_decisions as decisions
@@ -18,13 +18,15 @@
 from ferry_proxy import _store
 from ferry_proxy.tests import fakes
 
-CONNECTIONS = 14  # Fewer than three a node for the fleet below.
+# With fewer than three connections for each node of the fleet, only some of
+# the nodes serve a group.
+CONNECTIONS = 14
 FLEET = 12
 
 
 @attrs.define
 class FakePeer:
-    """A stream to another node that says nothing but that it lives."""
+    """A stream to another node whose calls are never answered."""
 
     peer: str
     silence_s: float = 0.0
@@ -37,7 +39,7 @@
 
 
 class FakeMesh:
-    """The streams to other nodes; none at first."""
+    """The streams to other nodes, initially none."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, _peers.Peer] = {}
@@ -48,7 +50,7 @@
 
 
 class Lab:
-    """One node of a fleet, and a group of members."""
+    """One serving node of a fleet, and a group of three members."""
 
     def __init__(self, halls: tuple[str, ...] = ("hall-b",)) -> None:
         self.clock = decisions.VirtualTimers()
@@ -94,14 +96,14 @@
         )
         decisions.PeriodicTimer(self.clock, 0.1, self.groups.check)
         decisions.PeriodicTimer(self.clock, 0.4, self.groups.survey)
-        self._revision = 0
+        self._last_revision = 0
         self.list_nodes(self.entries)
         for name in "abc":
             self.put("members/" + name, b"x")
 
     def put(self, key: str, value: bytes | None) -> None:
-        self._revision += 1
-        item = _store.Item(key, value, fakes.at(self._revision))
+        self._last_revision += 1
+        item = _store.Item(key, value, fakes.at(self._last_revision))
         self.catalogue.take((item,), "test")
         self.groups.apply(self.cfg)
 
@@ -142,21 +144,23 @@
     lab.clock.advance(1.0)
     opened = sum(m.opened for m in lab.cluster.members.values())
     assert opened > 0
-    # Nodes that rank before this one come: it serves no longer.
+    # Nodes that rank before this one join, so it serves the group no longer.
     rank = decisions.rendezvous_score
-    better = [
+    preferred_names = [
         n
         for n in (f"x{k}" for k in range(1000))
         if rank("orders", n) < rank("orders", lab.own.name)
     ]
-    comers = [_records.NodeEntry(n, "h", 1, "hall-b") for n in better[:2]]
-    lab.list_nodes(comers)
+    new_nodes = [
+        _records.NodeEntry(n, "h", 1, "hall-b") for n in preferred_names[:2]
+    ]
+    lab.list_nodes(new_nodes)
     assert not lab.groups.can_serve("orders")
     served = lab.groups.find("orders")
     assert served is not None
     lab.put("members/a", None)
     assert set(served.group.pools) == {"b", "c"}
-    lab.clock.advance(_served_groups.RETIRE_S + 0.2)
+    lab.clock.advance(_served_groups.RETIREMENT_S + 0.2)
     assert lab.groups.find("orders") is None
     lab.clock.advance(1.0)
     links = [k for m in lab.cluster.members.values() for k in m.links]
@@ -178,9 +182,9 @@
 @pytest.mark.parametrize(
     ("heard", "silent", "after_s", "sharing"),
     [
-        (0, 0, 0.5, 3),  # Just begun: all are taken for present.
+        (0, 0, 0.5, 3),  # Just started, so all nodes count as present.
         (2, 0, 3.0, 3),
-        (1, 1, 3.0, 2),  # One fell silent, or is cut off.
+        (1, 1, 3.0, 2),  # One node has fallen silent or is cut off.
         (0, 0, 3.0, 1),
     ],
 )
