--- a/packages/proxy/src/ferry_proxy/__init__.py
+++ b/packages/proxy/src/ferry_proxy/__init__.py
@@ -1,4 +1,4 @@
-"""The proxy, whatever the protocol: sessions, routing, pools, promotion."""
+"""The protocol-independent proxy: sessions, routing, pools and promotion."""
 
 import typing
 
--- a/packages/proxy/src/ferry_proxy/_mesh.py
+++ b/packages/proxy/src/ferry_proxy/_mesh.py
@@ -154,9 +154,9 @@
 
     def announce(self) -> None:
         """Pings all peers at once with this node's current state."""
-        ping = _peers.EncodedPing.of(self._handler.describe())
+        encoded = _peers.EncodedPing.of(self._handler.describe())
         for stream in self.streams:
-            stream.tick(ping)
+            stream.tick(encoded)
 
     def close(self) -> None:
         """Closes all streams."""
@@ -167,18 +167,18 @@
 
     def _tick(self) -> None:
         self._inbound = [s for s in self._inbound if not s.closed]
-        ping = _peers.EncodedPing.of(self._handler.describe())
+        encoded = _peers.EncodedPing.of(self._handler.describe())
         for stream in [*self._inbound, *self._outbound.values()]:
-            stream.tick(ping)
+            stream.tick(encoded)
         self._dial()
 
     def _ping_waiting_peers(self) -> None:
         """Pings the peers that wait for a reply from this node."""
         waiting_peers = [s for s in self.streams if s.has_pending_replies]
         if waiting_peers:
-            ping = _peers.EncodedPing.of(self._handler.describe())
+            encoded = _peers.EncodedPing.of(self._handler.describe())
             for stream in waiting_peers:
-                stream.tick(ping)
+                stream.tick(encoded)
 
     def _dial(self) -> None:
         for address in list(self._outbound.keys() - self._wanted):
--- a/packages/proxy/src/ferry_proxy/_peer_handler.py
+++ b/packages/proxy/src/ferry_proxy/_peer_handler.py
@@ -59,7 +59,7 @@
 
     def describe(self) -> _peer_messages.Ping:
         """Returns this node's current state for its peers."""
-        can_serve = [n for n in self.groups.groups if self.groups.can_serve(n)]
+        servable = [n for n in self.groups.groups if self.groups.can_serve(n)]
         age_s = self.follower.age_s
         covered = self.catalogue.covered
         return _peer_messages.Ping(
@@ -67,7 +67,7 @@
             covered.number,
             self.catalogue.version,
             age_s if math.isfinite(age_s) else -1.0,
-            sorted(can_serve),
+            sorted(servable),
             self.reach.missed,
         )
 
--- a/packages/proxy/src/ferry_proxy/_peers.py
+++ b/packages/proxy/src/ferry_proxy/_peers.py
@@ -276,22 +276,22 @@
         """Sends a message that has no reply."""
         self._stream.send(_peer_messages.encode(0, body))
 
-    def tick(self, ping: EncodedPing) -> None:
+    def tick(self, encoded: EncodedPing) -> None:
         """Sends a ping, or closes the stream if the peer has timed out."""
         if self.silence_s > PEER_TIMEOUT_S:
             self._fail("silent")
         elif not self.closed:
-            self._send_ping(ping)
+            self._send_ping(encoded)
 
     @property
     def has_pending_replies(self) -> bool:
         """Whether the peer waits for a reply from this node."""
         return self._pending_replies > 0 and not self.closed
 
-    def _send_ping(self, ping: EncodedPing) -> None:
-        is_same = ping.state == self._last_sent_state
-        self._last_sent_state = ping.state
-        self._stream.send(ping.short if is_same else ping.full)
+    def _send_ping(self, encoded: EncodedPing) -> None:
+        is_same = encoded.state == self._last_sent_state
+        self._last_sent_state = encoded.state
+        self._stream.send(encoded.short if is_same else encoded.full)
 
     def close(self) -> None:
         """Closes the stream."""
--- a/packages/proxy/src/ferry_proxy/_promotions.py
+++ b/packages/proxy/src/ferry_proxy/_promotions.py
@@ -31,19 +31,16 @@
 
 # Nodes claim one after the other, this far apart. A claim reaches the next
 # node in less.
-CLAIM_RANK_DELAY_S = 0.06
-# Nodes of a higher rank claim at the same time as this one, and the store
-# accepts one of the claims.
-MAX_CLAIM_RANK = 2
-# A peer answers in a few milliseconds, a slow one in 25 ms.
-OPINION_TIMEOUT_S = 0.1
+RANK_DELAY_S = 0.06
+# All nodes from this rank on claim at the same time, and the store accepts one
+# of the claims.
+MAX_RANK = 2
+OPINION_WAIT_S = 0.1  # A peer answers in a few ms, a slow one in 25 ms.
 FAILURE_BACKOFF_S = 0.4
-# About half of `_fencing.MAX_REMOVED_MEMBER_S`.
-MAX_PROMOTE_WAIT_S = 16.0
+MAX_PROMOTE_WAIT_S = 16.0  # Half of the time for which removed members count.
 # The vetoing peer may lose the primary next, and asking it again is cheap.
 VETO_BACKOFF_S = 0.1
-# How often a promoted member is asked whether it leads.
-LEADER_POLL_S = 0.03
+LEADER_POLL_S = 0.03  # How often a promoted member is asked whether it leads.
 
 
 @attrs.frozen(slots=True)
@@ -77,7 +74,7 @@
 
 
 # The least time between status rounds while the primary does not answer.
-PRIMARY_RECHECK_S = 0.15
+RECHECK_S = 0.15
 
 
 class Promoter:
@@ -90,7 +87,7 @@
         self._is_stopped = False
         self._next_attempt_at = float("-inf")
         self._promote_wait_s = ctx.policy.promote_wait_s
-        self._stall_detector = _fencing.StallDetector()
+        self._stall = _fencing.StallDetector()
         self._claims = _claims.Claims(
             ctx.clock, ctx.policy, ctx.node, ctx.store, ctx.catalogue, group
         )
@@ -115,17 +112,15 @@
     def _update_stall(self, reports: dict[str, _members.Report]) -> None:
         """Passes a round's reports of the current term to the detector."""
         leader = self._group.leader
-        primary_report = reports.get(leader.member) if leader else None
-        replica_reports = [
+        primary = reports.get(leader.member) if leader else None
+        replicas = [
             r
             for n, r in reports.items()
             if leader is not None
             and n != leader.member
             and r.follows(leader.term)
         ]
-        self._stall_detector.observe(
-            primary_report, replica_reports, self._ctx.clock.boot_now()
-        )
+        self._stall.observe(primary, replicas, self._ctx.clock.boot_now())
 
     def evidence(self) -> _fencing.Evidence:
         """Returns what this node has observed of the primary."""
@@ -151,7 +146,7 @@
     def _stalled_s(self) -> float:
         if not self._group.service.sync_replicas:
             return 0.0
-        return self._stall_detector.stalled_s
+        return self._stall.stalled_s
 
     def _is_staying(self, pool: _pools.Pool) -> bool:
         return not pool.member.draining
@@ -178,7 +173,7 @@
         pool = self._group.leader_pool
         if pool is None or not pool.contact.is_quiet:
             return
-        if self._ctx.clock.now() - self._group.round_at > PRIMARY_RECHECK_S:
+        if self._ctx.clock.now() - self._group.round_at > RECHECK_S:
             self._group.refresh()
 
     def _on_change_ended(self, fut: "decisions.Future[None]") -> None:
@@ -196,13 +191,9 @@
     def _change_primary(self, cause: _fencing.Cause) -> "decisions.Flow[None]":
         started_at = self._ctx.clock.now()
         opinions = decisions.start(self._ask_opinions())
-        yield decisions.sleep(
-            self._ctx.clock, self._claim_rank() * CLAIM_RANK_DELAY_S
-        )
-        current_cause = _fencing.cause_of_change(
-            self.evidence(), self._ctx.policy
-        )
-        if current_cause is not cause:
+        yield decisions.sleep(self._ctx.clock, self._rank() * RANK_DELAY_S)
+        current = _fencing.cause_of_change(self.evidence(), self._ctx.policy)
+        if current is not cause:
             return
         self._check_veto(cause, (yield opinions))
         if cause is _fencing.Cause.STALLED:
@@ -225,23 +216,19 @@
         successor = yield from self._promote(reports, held)
         yield from self._await_leader(successor, token)
 
-    def _claim_rank(self) -> int:
+    def _rank(self) -> int:
         """Returns this node's place in the order in which nodes claim."""
         names = sorted({*self._ctx.nodes(), self._ctx.node})
         service = self._group.service.name
         ranked = sorted(
             names, key=lambda n: decisions.rendezvous_score(service, n)
         )
-        return min(MAX_CLAIM_RANK, ranked.index(self._ctx.node))
+        return min(MAX_RANK, ranked.index(self._ctx.node))
 
     def _ask_opinions(
         self,
     ) -> "decisions.Flow[list[_peer_messages.OpinionReply]]":
-        """Asks the peers for their contact with the primary.
-
-        Returns:
-            The replies that arrive in time.
-        """
+        """Asks the peers for their contact with the primary."""
         group = self._group
         leader = group.leader
         if leader is None:
@@ -253,9 +240,7 @@
             pool.member.born if pool else 0,
         )
         futs = [
-            decisions.within(
-                self._ctx.clock, OPINION_TIMEOUT_S, s.call(question)
-            )
+            decisions.within(self._ctx.clock, OPINION_WAIT_S, s.call(question))
             for s in self._ctx.mesh.streams
         ]
         settled = yield decisions.settle_all(futs, lambda _: False)
@@ -293,11 +278,7 @@
             raise _fences.VetoedError("a peer hears the primary")
 
     def _confirm_stall(self) -> "decisions.Flow[None]":
-        """Asks all members again before a primary that answers is replaced.
-
-        Raises:
-            ChangeAbandonedError: A replica has received a commit meanwhile.
-        """
+        """Asks all members again before a primary that answers is replaced."""
         futs = [
             decisions.start(self._group.ask(pool, _links.Status()))
             for pool in self._group.pools.values()
@@ -309,7 +290,7 @@
             if (report := self._group.last_report(name)) is not None
         }
         self._update_stall(reports)
-        if self._stall_detector.stalled_s < self._ctx.policy.stall_s:
+        if self._stall.stalled_s < self._ctx.policy.stall_s:
             raise _fences.ChangeAbandonedError(
                 "a replica receives commits again"
             )
@@ -319,19 +300,7 @@
         reports: dict[str, _members.Report],
         held: _records.HeldClaim,
     ) -> "decisions.Flow[str]":
-        """Orders the promotion of a paused replica.
-
-        Args:
-            reports: The reports of the paused members, by id.
-            held: The claim to act on.
-
-        Returns:
-            The member that is being promoted.
-
-        Raises:
-            ChangeAbandonedError: The claim is too old, a paused member has
-                restarted, or the platform refused the promotion.
-        """
+        """Orders the promotion of a paused replica, and returns its id."""
         ctx = self._ctx
         group = self._group
         members = {n: p.member for n, p in group.pools.items()}
@@ -364,11 +333,7 @@
     def _await_leader(
         self, successor: str, token: int
     ) -> "decisions.Flow[None]":
-        """Waits until the promoted member leads.
-
-        Raises:
-            ChangeAbandonedError: It does not lead in time.
-        """
+        """Waits until the promoted member leads, and announces it."""
         ctx = self._ctx
         group = self._group
         started_at = ctx.clock.now()
--- a/packages/proxy/src/ferry_proxy/_proxy.py
+++ b/packages/proxy/src/ferry_proxy/_proxy.py
@@ -1,4 +1,4 @@
-"""A node: wires the catalogue, the groups, the peers and the sessions."""
+"""A node of the proxy: connects catalogue, groups, peers and sessions."""
 
 import ferry_decisions as decisions
 import ferry_runtime as runtime
@@ -31,14 +31,28 @@
 from ferry_proxy import _serving
 from ferry_proxy import _sessions
 
-STEP_S = 0.1  # All periodic work of a node falls on one grid.
-CHECK_S = 0.1  # How often the evidence on primaries is weighed.
-SWEEP_S = 0.3  # How often idle transactions are looked for.
-SEEDS_AFTER_S = 0.2  # Many round trips to the store, and a loaded machine's.
+# The resolution of the ticker that runs all periodic work of a node.
+TICK_S = 0.1
+# How often the state of primaries, peers and limits is checked.
+CHECK_S = 0.1
+# How often sessions are checked for idle transactions.
+IDLE_CHECK_S = 0.3
+# Seeds are used if the store has not answered within this time, which allows
+# for many round trips to it, also on a loaded VM.
+SEED_DELAY_S = 0.2
 
 
 class Proxy:
-    """All parts of a node but its fronts."""
+    """A node without the fronts, which speak the callers' protocols.
+
+    Attributes:
+        metrics: The node's counters and gauges.
+        ticker: Runs the node's periodic work.
+        stopping: Whether the node is shutting down.
+        catalogue: The local copy of the store.
+        mesh: The streams to other nodes.
+        reach: Whether callers are better served by other nodes.
+    """
 
     def __init__(
         self,
@@ -52,7 +66,7 @@
         self._platform = platform
         self._policy = policy
         self._sessions: dict[int, _sessions.Session] = {}
-        self._announced: _peer_messages.Ping | None = None
+        self._announced_state: _peer_messages.Ping | None = None
         self._own = _records.NodeEntry(
             identity.name,
             identity.host,
@@ -62,9 +76,9 @@
             identity.link_mbps,
         )
         self.metrics = _metrics.Metrics()
-        self.ticker = decisions.Ticker(loop, STEP_S)
+        self.ticker = decisions.Ticker(loop, TICK_S)
         self.stopping = False
-        self._begun = loop.now()
+        self._started_at = loop.now()
         self.catalogue = _catalogue.Catalogue(loop, platform.layout, policy)
         self.catalogue.on_change.append(self._apply)
         self._roster = _roster.Roster(loop, self.catalogue, self._own.name)
@@ -76,7 +90,7 @@
         )
         self._serving = _serving.Serving(loop, self._own_runner, access)
         self._connect_peers()
-        self._ctx = _sessions.SessionContext(
+        self._session_context = _sessions.SessionContext(
             clock=loop,
             metrics=self.metrics,
             configuration=lambda: self.catalogue.configuration,
@@ -86,7 +100,7 @@
         )
         self.ticker.subscribe(policy.probe_s, self._groups.survey)
         self.ticker.subscribe(CHECK_S, self._check)
-        self.ticker.subscribe(SWEEP_S, self._sweep)
+        self.ticker.subscribe(IDLE_CHECK_S, self._end_idle_transactions)
         loop.on_late(self._groups.forgive)
         _gauges.add(
             self.metrics,
@@ -101,7 +115,7 @@
         )
 
     def _connect_peers(self) -> None:
-        """Wires what speaks to other nodes and what serves them."""
+        """Creates the parts that call other nodes and that serve them."""
         loop, platform = self._loop, self._platform
         self.mesh = _mesh.Mesh(loop, self._own)
         self._follower = _followers.Follower(
@@ -155,7 +169,7 @@
         self.reach = _reachability.Reachability(
             loop, self._policy, self.mesh, self._groups, self._forwarder
         )
-        self._desk = _peer_handler.PeerMessageHandler(
+        self._message_handler = _peer_handler.PeerMessageHandler(
             loop,
             self.catalogue,
             self._follower,
@@ -164,7 +178,7 @@
             self.reach,
             self._allowances,
         )
-        self.mesh.open(self._desk, self.ticker)
+        self.mesh.open(self._message_handler, self.ticker)
         self._registrar = _registrar.Registrar(
             loop,
             self._own,
@@ -183,31 +197,31 @@
         )
 
     def start(self) -> None:
-        """Begins to work."""
+        """Starts to follow the store."""
         _events.emit(_events.NodeStarted(self._identity.data_centre))
         self._follower.start()
 
     @property
     def is_ready(self) -> bool:
-        """Whether new sessions are wanted."""
-        return self._why_not is None
+        """Whether this node accepts new sessions."""
+        return self._unready_reason is None
 
     @property
     def readiness(self) -> str:
-        """What decides whether new sessions are wanted, in words."""
-        why = self._why_not
-        return "members are known" if why is None else why.value
+        """Why this node accepts new sessions or does not, as text."""
+        reason = self._unready_reason
+        return "members are known" if reason is None else reason.value
 
     @property
-    def _why_not(self) -> _readiness.Unready | None:
-        standing = _readiness.Standing(
+    def _unready_reason(self) -> _readiness.Unready | None:
+        inputs = _readiness.Standing(
             is_stopping=self.stopping,
             has_configuration=self.has_configuration,
             awaits_peers=self._registrar.awaits_peers,
             is_cut_off=self.reach.is_cut_off,
             knows_primary=self._knows_primary,
         )
-        return _readiness.why_not(standing)
+        return _readiness.why_not(inputs)
 
     @property
     def _knows_primary(self) -> bool:
@@ -220,7 +234,7 @@
 
     @property
     def has_configuration(self) -> bool:
-        """Whether routes are known; before, nothing can be refused by name."""
+        """Whether routes are known; until then no route can be refused."""
         return self.catalogue.configuration is not None
 
     def plan_of(self, service: str) -> list[str]:
@@ -230,42 +244,42 @@
 
     @property
     def session_count(self) -> int:
-        """Sessions that are open."""
+        """How many sessions are open."""
         return len(self._sessions)
 
     def open_session(self, database: str, key: str) -> _sessions.Session:
-        """Begins a session; the front asks whether it may go on.
+        """Opens a session; the front has to check whether it is admitted.
 
         Args:
-            database: The database that the caller names.
-            key: What the caller says of itself.
+            database: The database that the caller asks for.
+            key: The key that the caller presents.
         """
-        session = _sessions.Session(self._ctx, database, key)
+        session = _sessions.Session(self._session_context, database, key)
         self._sessions[session.id] = session
         return session
 
     def close_session(self, session: _sessions.Session) -> None:
-        """Ends a session whose caller is gone."""
+        """Closes a session whose caller has disconnected."""
         self._sessions.pop(session.id, None)
         session.close()
 
     def close(self) -> None:
-        """Ends all parts."""
+        """Stops all parts of the node."""
         self.ticker.stop()
         self._follower.stop()
         self.mesh.close()
         self._groups.close()
 
-    # -- what the catalogue says -----------------------------------------
+    # -- updates from the catalogue --------------------------------------
 
     def _apply(self) -> None:
-        """Brings groups and peers in line with the catalogue."""
+        """Updates groups and peers from the catalogue."""
         if self._roster.look():
-            self._take_roster()
+            self._apply_roster()
         elif self._roster.is_known:
             self._apply_groups()
 
-    def _take_roster(self) -> None:
+    def _apply_roster(self) -> None:
         self._apply_groups()
         self._set_peers()
 
@@ -275,20 +289,20 @@
             self._groups.apply(cfg)
 
     def _set_peers(self) -> None:
-        """Connects to neighbours; to seeds while nobody else is known."""
+        """Sets the nodes to connect to, with the seeds if they are needed."""
         seeds = self._identity.seeds if self._needs_seeds else ()
         self.mesh.set_nodes(self._roster.nodes.values(), seeds)
         self._want_peers()
 
     @property
     def _needs_seeds(self) -> bool:
-        """Whether the store has not answered for so long that peers have to.
+        """Whether the store has not answered, so that seeds are needed.
 
-        In a fleet that starts it answers within milliseconds, and all nodes
-        would connect to the same three.
+        While a fleet starts, the store answers within milliseconds. Without
+        the delay all nodes would connect to the same three seeds.
         """
-        waited = self._loop.now() - self._begun
-        return not self.catalogue.is_read and waited > SEEDS_AFTER_S
+        waited_s = self._loop.now() - self._started_at
+        return not self.catalogue.is_read and waited_s > SEED_DELAY_S
 
     def _want_peers(self) -> None:
         extra = self._groups.peers()
@@ -297,21 +311,24 @@
         self.mesh.want(extra)
 
     def _runner(self, service: str, team: str) -> _runners.Runner | None:
-        """Returns who runs a group's statements: this node if it can.
+        """Returns what runs a group's statements: this node or a peer.
 
         Args:
             service: The group.
-            team: The caller's team; empty where callers have none.
+            team: The caller's team; empty if callers have none.
+
+        Returns:
+            The runner, or None if the group is unknown.
         """
         served = self._groups.find(service)
-        if served is not None and self._is_best(service, team):
+        if served is not None and self._runs_here(service, team):
             return served.runner
         if service in self._groups.plans:
             return _forwarding.RemoteRunner(self._forwarder, service)
         return None
 
-    def _is_best(self, service: str, team: str) -> bool:
-        """Whether no peer is better for a group that this node serves."""
+    def _runs_here(self, service: str, team: str) -> bool:
+        """Whether no peer should run the statements instead of this node."""
         if self._groups.can_serve(service):
             return not self._forwarder.is_elsewhere(service, team)
         return not self._forwarder.is_served(service)
@@ -330,32 +347,39 @@
         if self._needs_seeds:
             self._set_peers()
         elif self._roster.look():
-            self._take_roster()
+            self._apply_roster()
         else:
             self._want_peers()
-        self._announce()
+        self._announce_changes()
         if not self.stopping:
             self._registrar.look()
             self._lost_nodes.check()
 
-    def _announce(self) -> None:
-        """Tells the peers at once of what they should not wait for."""
-        news = self._desk.describe().state
-        if news != self._announced:
-            self._announced = news
+    def _announce_changes(self) -> None:
+        """Pings the peers at once if this node's state has changed."""
+        new_state = self._message_handler.describe().state
+        if new_state != self._announced_state:
+            self._announced_state = new_state
             self.mesh.announce()
 
-    def _sweep(self) -> None:
+    def _end_idle_transactions(self) -> None:
         now = self._loop.now()
         for session in self._sessions.values():
             session.end_if_idle(now)
 
-    # -- the end ---------------------------------------------------------
+    # -- shutdown --------------------------------------------------------
 
     def stop(
         self, front: _planned_stop.FrontControl
     ) -> "decisions.Future[int]":
-        """Stops in order; the future tells how many sessions were cut."""
+        """Shuts the node down in order.
+
+        Args:
+            front: The front, which closes its callers' connections.
+
+        Returns:
+            How many sessions were cut off.
+        """
         self.stopping = True
         self.mesh.announce()
         _events.emit(_events.NodeStopping(self.session_count))
--- a/packages/proxy/src/ferry_proxy/_serving_plan.py
+++ b/packages/proxy/src/ferry_proxy/_serving_plan.py
@@ -107,10 +107,8 @@
         """
         return frozenset(
             node.name
-            for data_centre in self._data_centres.values()
-            for node in data_centre.preferred(
-                BUCKET_OWNERS_KEY, MAX_SERVING_NODES
-            )
+            for centre in self._data_centres.values()
+            for node in centre.preferred(BUCKET_OWNERS_KEY, MAX_SERVING_NODES)
         )
 
     def plan(self, service: str, max_connections: int) -> ServingPlan:
@@ -133,8 +131,8 @@
             )
             chosen = [
                 n
-                for data_centre in self._data_centres.values()
-                for n in data_centre.preferred(service, count)
+                for centre in self._data_centres.values()
+                for n in centre.preferred(service, count)
             ]
         reserved_links = MIN_RESERVED_LINKS
         if self._has_teams:
@@ -152,12 +150,12 @@
     """
     strong = strong_nodes(nodes)
     needed = math.ceil(groups * MAX_SERVING_NODES / MAX_GROUPS_PER_STRONG_NODE)
-    data_centre = _DataCentre(
+    centre = _DataCentre(
         nodes, strong if len(strong) >= needed else nodes, previous
     )
-    if previous is not None and previous.selects_like(data_centre):
+    if previous is not None and previous.selects_like(centre):
         return previous
-    return data_centre
+    return centre
 
 
 class _DataCentre:
--- a/packages/proxy/src/ferry_proxy/tests/test_peers.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_peers.py
@@ -154,8 +154,8 @@
     pair.sender.peer = "b"
     mesh._inbound.append(pair.sender)
     ticker.subscribe(_mesh.PENDING_REPLY_PING_S, mesh._ping_waiting_peers)
-    ping = _peers.EncodedPing.of(IDLE_PING)
-    ticker.subscribe(_mesh.PING_S, lambda: pair.receiver.tick(ping))
+    encoded = _peers.EncodedPing.of(IDLE_PING)
+    ticker.subscribe(_mesh.PING_S, lambda: pair.receiver.tick(encoded))
     pair.receiver.call(_peer_messages.SyncRequest(0, 0, 0))
     for _ in range(40):
         timers.advance(0.05)
--- a/packages/proxy/src/ferry_proxy/tests/test_promotions.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_promotions.py
@@ -1,4 +1,4 @@
-"""Changes of primary: decisions in tables, then whole changes."""
+"""Changes of primary: the decisions by table, then complete changes."""
 
 import ferry_decisions as decisions
 import pytest
@@ -144,7 +144,11 @@
 
 
 def test_no_floor_from_replicas_alone():
-    """Days scale-1 and scale-2: a list that had lost a replica was believed."""
+    """A floor also needs the primary's report.
+
+    In the runs scale-1 and scale-2, a member list that lacked a replica was
+    taken for complete.
+    """
     leader = _members.Leader("a", 1)
     reports = {"b": report(REPLICA, 5, 10.0)}
     assert _freshness.sample_of(leader, reports, 1) is None
@@ -195,10 +199,10 @@
         setattr(old, trouble, True)
     if trouble == "isolated":
         lab.session().run(fakes.statement("WRITE x 1", "unacknowledged"))
-    begun = lab.clock.now()
+    started_at = lab.clock.now()
     while lab.group.leader is None or lab.group.leader.member == "a":
         lab.run(0.02)
-        assert lab.clock.now() - begun < longest_s
+        assert lab.clock.now() - started_at < longest_s
     assert lab.group.leader.term == 2
     assert write(lab, "after").reason is None
     assert lab.cluster.lost == []
@@ -279,7 +283,10 @@
 
 
 def test_late_reports_of_an_earlier_term_depose_nobody():
-    """Day trouble-2: a report asked for before a promotion came after it."""
+    """A report requested before a promotion may arrive after it.
+
+    Seen in the run trouble-2.
+    """
     lab = fakes.Lab()
     lab.group.note_leader(_members.Leader("b", 2))
     lab.group._find_leader({"b": report(REPLICA, 3, 0.0, term=1)})
@@ -287,7 +294,11 @@
 
 
 def test_one_late_replica_is_no_stall():
-    """Day trouble-2: a member that came back was taken for the whole group."""
+    """A stall requires that no replica receives the primary's commits.
+
+    In the run trouble-2, the reports of one returning member were taken for
+    those of the whole group.
+    """
     lab = fakes.Lab()
     lab.add_promoter()
     lab.cluster.members["c"].isolated = True
@@ -313,7 +324,11 @@
 def test_replicas_stay_paused_while_an_order_may_still_be_executed(
     monkeypatch,
 ):
-    """Day trouble-3: an order that took long must not meet new commits."""
+    """Replicas stay paused while a promotion order may still be executed.
+
+    In the run trouble-3, such an order took long, and the old primary
+    acknowledged commits meanwhile that the successor lacked.
+    """
     monkeypatch.setattr(fakes, "PROMOTE_S", 5.0)
     lab = fakes.Lab()
     lab.add_promoter()
@@ -333,7 +348,11 @@
 
 
 def test_promotions_that_take_long_are_waited_for(monkeypatch):
-    """Here each order ends the one before; nobody led with a fixed wait."""
+    """The wait for a promotion grows with each failed attempt.
+
+    Here each order cancels the previous one. With a fixed wait, shorter than a
+    promotion takes, no member ever led.
+    """
     lab = fakes.Lab()
     lab.add_promoter()
     orders: list[decisions.Timer] = []
@@ -385,7 +404,10 @@
 def test_a_node_that_alone_lost_the_primary_is_bypassed(
     dark, peer_hears, expected
 ):
-    """Day scale-1: callers of such a node are better off at another."""
+    """Callers of a node that alone lost the primary need another node.
+
+    Seen in the run scale-1.
+    """
     lab = fakes.Lab()
     lab.cluster.members["a"].dark = dark
     for _ in range(30):
@@ -415,7 +437,11 @@
     [("", False), ("b", False), ("a", False), ("bc", True)],
 )
 def test_a_node_with_the_primary_but_no_replica_is_severed(dark, expected):
-    """Incident inc-1442: half of the nodes were cut off with the primary."""
+    """A node that reaches the primary alone is on its side of a partition.
+
+    In the incident inc-1442, half of the nodes were cut off together with the
+    primary.
+    """
     lab = fakes.Lab()
     for name in dark:
         lab.cluster.members[name].dark = True
@@ -427,7 +453,11 @@
 
 
 def test_a_node_asks_itself_until_its_trouble_is_over():
-    """Day scale-1: a node stayed unready for 30 s after the cut had healed."""
+    """A node with failed contact asks the members itself until one answers.
+
+    In the run scale-1, a node that relied on the surveyor alone stayed unready
+    for 30 s after a partition had healed.
+    """
     lab = fakes.Lab()
     lab.cluster.members["a"].dark = True
     lab.run(2.0)
@@ -442,7 +472,7 @@
 
 
 class FakePeer:
-    """A mesh with one peer, which always asks in this node's place."""
+    """A mesh with one peer, which is always the surveyor."""
 
     def __init__(self, lab):
         self.peer = ""
@@ -466,7 +496,11 @@
 
 @pytest.mark.parametrize("text", ["WRITE x 1", "COMMIT"])
 def test_a_replica_that_joins_after_the_fence_confirms_nothing(text):
-    """Day rough-22: a cut-off primary got a new replica during a change."""
+    """A replica that joins after the fence does not confirm commits.
+
+    In the run rough-22, a primary that was cut off got a new replica during a
+    change of primary.
+    """
     lab = fakes.Lab()
     session = lab.session()
     if text == "COMMIT":
@@ -527,7 +561,11 @@
 
 
 def test_commits_are_proved_while_members_are_replaced():
-    """Day rough-48: the second replacement joined behind a partition."""
+    """Commits still need proof while several members are being replaced.
+
+    In the run rough-48, the second replacement joined on the primary's side of
+    a partition.
+    """
     lab = fakes.Lab()
     lab.cluster.members["b"].draining = True
     lab.group.set_members(lab.cluster.entries(), lab.limit)
--- a/packages/proxy/src/ferry_proxy/tests/test_serving_plan.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_serving_plan.py
@@ -1,4 +1,4 @@
-"""Who serves a group, in fleets of several sizes."""
+"""Which nodes serve a group, in fleets of several sizes."""
 
 import random
 
@@ -9,15 +9,15 @@
 from ferry_proxy import _serving_plan
 
 
-def fleet(size: int, places: int) -> list[_records.NodeEntry]:
+def fleet(size: int, data_centres: int) -> list[_records.NodeEntry]:
     return [
-        _records.NodeEntry(f"n{n}", f"h{n}", 1, f"hall-{n % places}")
+        _records.NodeEntry(f"n{n}", f"h{n}", 1, f"hall-{n % data_centres}")
         for n in range(size)
     ]
 
 
 @pytest.mark.parametrize(
-    ("size", "places", "connections", "serving", "links"),
+    ("size", "data_centres", "connections", "serving", "links"),
     [
         (1, 1, 33, 1, 30),
         (7, 3, 33, 7, 4),
@@ -31,9 +31,9 @@
     ],
 )
 def test_members_get_no_more_connections_than_they_take(
-    size, places, connections, serving, links
+    size, data_centres, connections, serving, links
 ):
-    planner = _serving_plan.Planner(fleet(size, places), 1)
+    planner = _serving_plan.Planner(fleet(size, data_centres), 1)
     plan = planner.plan("orders", connections)
     assert (len(plan.nodes), plan.links) == (serving, links)
     assert len(plan.nodes) * plan.links <= max(connections, len(plan.nodes))
@@ -63,40 +63,48 @@
     assert 0 < len(moved) < 25
 
 
-def mixed(strong: int, weak: int) -> list[_records.NodeEntry]:
-    """Two data centres of a few strong VMs and many weak ones."""
-    big = [
+def mixed_fleet(strong: int, weak: int) -> list[_records.NodeEntry]:
+    """Returns two data centres, each with strong and weak VMs."""
+    strong_vms = [
         _records.NodeEntry(f"s{n}", "h", 1, f"hall-{n % 2}", 2.15, 100.0)
         for n in range(2 * strong)
     ]
-    small = [
+    weak_vms = [
         _records.NodeEntry(f"w{n}", "h", 1, f"hall-{n % 2}", 0.5, 10.0)
         for n in range(2 * weak)
     ]
-    return big + small
+    return strong_vms + weak_vms
 
 
 @pytest.mark.parametrize(
     ("strong", "weak", "groups", "serving"),
     [
-        (3, 37, 10, 3),  # The strong ones serve all groups among them.
+        (3, 37, 10, 3),  # The strong VMs serve all groups.
         (2, 37, 10, 2),
-        (1, 37, 1, 2),  # A weak one beside the strong one: one may be away.
-        (3, 37, 100, 37),  # Too many groups for so few.
+        (1, 37, 1, 2),  # A weak VM serves too, as the strong one may be absent.
+        (3, 37, 100, 37),  # The groups are too many for the strong VMs alone.
     ],
 )
 def test_strong_vms_serve_the_groups(strong, weak, groups, serving):
-    """Entries keep 3 streams for 10 groups; 12 where all 40 are alike."""
-    nodes = mixed(strong, weak)
+    """Strong VMs serve first, so entry nodes need fewer streams.
+
+    For 10 groups an entry node keeps 3 streams. If all 40 VMs are alike, it
+    keeps 12.
+    """
+    nodes = mixed_fleet(strong, weak)
     planner = _serving_plan.Planner(nodes, groups)
     plans = [planner.plan(f"db{n}", 117) for n in range(groups)]
-    near = {n.name for p in plans for n in p.near("hall-0")}
+    serving_near = {n.name for p in plans for n in p.near("hall-0")}
     assert all(len(p.near("hall-0")) == 2 for p in plans)
-    assert serving == len(near) if groups < 100 else len(near) >= serving
+    assert (
+        serving == len(serving_near)
+        if groups < 100
+        else len(serving_near) >= serving
+    )
 
 
 def test_a_strong_vm_that_goes_leaves_its_groups_to_the_other_strong_ones():
-    nodes = mixed(3, 37)
+    nodes = mixed_fleet(3, 37)
     names = [f"db{n}" for n in range(10)]
     before = serving_nodes(nodes, names)
     after = serving_nodes([n for n in nodes if n.name != "s0"], names)
@@ -137,9 +145,9 @@
 
 
 def test_plans_that_follow_each_other_are_those_made_from_nothing():
-    """Nodes come and go, strong and weak ones; 200 changes."""
+    """Strong and weak nodes join and leave in 200 random changes."""
     rng = random.Random(7)
-    pool = mixed(5, 20)
+    pool = mixed_fleet(5, 20)
     names = [f"db{n}" for n in range(12)]
     listed = set(pool[::2])
     planner = None
@@ -153,22 +161,26 @@
 
 
 def test_a_node_that_comes_costs_few_hashes(monkeypatch):
-    """410 nodes, 740 groups: 303,400 hashes from nothing, 6,660 for one."""
-    counted = []
+    """A node that joins causes few hashes.
+
+    Planning 410 nodes and 740 groups takes 303,400 hashes from scratch, and
+    6,660 after one node has joined.
+    """
+    ranked_nodes = []
     rank = _serving_plan._rank
 
-    def count(service: str, node: _records.NodeEntry) -> int:
-        counted.append(node)
+    def counting_rank(service: str, node: _records.NodeEntry) -> int:
+        ranked_nodes.append(node)
         return rank(service, node)
 
-    monkeypatch.setattr(_serving_plan, "_rank", count)
+    monkeypatch.setattr(_serving_plan, "_rank", counting_rank)
     nodes = fleet(410, 7)
     names = [f"db{n}" for n in range(740)]
     planner = _serving_plan.Planner(nodes[1:], len(names))
     for name in names:
         planner.plan(name, 35)
-    counted.clear()
+    ranked_nodes.clear()
     planner = _serving_plan.Planner(nodes, len(names), planner)
     for name in names:
         planner.plan(name, 35)
-    assert len(counted) < 10_000
+    assert len(ranked_nodes) < 10_000
--- a/packages/proxy/src/ferry_proxy/tests/test_surveys.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_surveys.py
@@ -1,4 +1,4 @@
-"""How old floors are at the nodes that learn them from another one."""
+"""How old floors are at nodes that get them from the surveyor."""
 
 import types
 import typing
@@ -12,18 +12,18 @@
 from ferry_proxy import _peer_messages
 from ferry_proxy import _surveys
 
-PAUSE_S = 0.4
-NET_S = 0.002
-ISOLATED_S = 0.7
+ROUND_INTERVAL_S = 0.4
+NETWORK_DELAY_S = 0.002
+MAX_FLOOR_AGE_S = 0.7
 
 
 @attrs.define
 class Surveyor:
-    """The peer that asks the members, at a phase of its own."""
+    """The peer that asks the members, with rounds shifted by a phase."""
 
     clock: decisions.VirtualTimers
     phase_s: float
-    peer: str = ""  # Ranks first among names.
+    peer: str = ""  # The empty name ranks first.
     silence_s: float = 0.0
     asked: int = 0
 
@@ -31,22 +31,22 @@
         self, body: _peer_messages.Message
     ) -> "decisions.Future[_peer_messages.Message]":
         self.asked += 1
-        since = (self.clock.now() - self.phase_s) % PAUSE_S
-        reply = _peer_messages.SurveyReply("a", 1, 1, 5, since, 0.0)
+        floor_age_s = (self.clock.now() - self.phase_s) % ROUND_INTERVAL_S
+        reply = _peer_messages.SurveyReply("a", 1, 1, 5, floor_age_s, 0.0)
         fut: decisions.Future[_peer_messages.Message] = decisions.Future()
-        self.clock.after(2 * NET_S, lambda: fut.set_result(reply))
+        self.clock.after(2 * NETWORK_DELAY_S, lambda: fut.set_result(reply))
         return fut
 
     def tell(self, body: _peer_messages.Message) -> None:
-        raise AssertionError(f"not awaited here: {body}")
+        raise AssertionError(f"unexpected message: {body}")
 
 
 @attrs.define
 class FakeGroup:
-    """A group that notes the floors that it is told."""
+    """A group that records the newest floor that it receives."""
 
     clock: decisions.VirtualTimers
-    covers: float = float("-inf")
+    floor_covered_at: float = float("-inf")
     rounds: int = 0
     is_troubled: bool = False
     service: typing.Any = attrs.field(
@@ -59,11 +59,11 @@
     def take_survey(
         self, leader: _members.Leader, sample: _freshness.Sample, heard: float
     ) -> None:
-        self.covers = max(self.covers, sample.at)
+        self.floor_covered_at = max(self.floor_covered_at, sample.at)
 
 
 class Lab:
-    """A node that learns of a group from the surveyor."""
+    """A node that gets a group's floor from the surveyor."""
 
     def __init__(self, phase_s: float) -> None:
         self.clock = decisions.VirtualTimers()
@@ -71,20 +71,24 @@
         self.group = FakeGroup(self.clock)
         mesh = types.SimpleNamespace(streams=[self.peer])
         self.surveys = _surveys.Surveys(
-            self.clock, "z", typing.cast(typing.Any, mesh), PAUSE_S
+            self.clock, "z", typing.cast(typing.Any, mesh), ROUND_INTERVAL_S
+        )
+        self._ticks = decisions.PeriodicTimer(
+            self.clock, ROUND_INTERVAL_S, self._survey
         )
-        self._ticks = decisions.PeriodicTimer(self.clock, PAUSE_S, self._survey)
 
     def _survey(self) -> None:
         self.surveys.survey(typing.cast(typing.Any, self.group))
 
-    def oldest_s(self, seconds: float) -> float:
-        """Returns the greatest age of the floor within a time."""
-        oldest = 0.0
+    def max_floor_age_s(self, seconds: float) -> float:
+        """Returns the greatest age of the floor over a period."""
+        max_age_s = 0.0
         for _ in range(int(seconds * 100)):
             self.clock.advance(0.01)
-            oldest = max(oldest, self.clock.now() - self.group.covers)
-        return oldest
+            max_age_s = max(
+                max_age_s, self.clock.now() - self.group.floor_covered_at
+            )
+        return max_age_s
 
     def stop(self) -> None:
         self._ticks.stop()
@@ -99,12 +103,16 @@
 
 @pytest.mark.parametrize("phase_s", [0.0, 0.1, 0.2, 0.3, 0.35, 0.39])
 def test_floors_are_younger_than_what_counts_as_isolated(phase_s):
-    """0.44 s at most, up to 0.80 s before, at any phase of the surveyor."""
+    """Floors stay young at any phase between this node and the surveyor.
+
+    Requests just after the surveyor's round give floors of at most 0.44 s;
+    requests at arbitrary times gave up to 0.80 s.
+    """
     lab = Lab(phase_s)
     lab.clock.advance(2.0)
     asked = lab.peer.asked
-    assert lab.oldest_s(10.0) < ISOLATED_S - 0.2
-    assert lab.peer.asked - asked <= 10.0 / PAUSE_S + 2
+    assert lab.max_floor_age_s(10.0) < MAX_FLOOR_AGE_S - 0.2
+    assert lab.peer.asked - asked <= 10.0 / ROUND_INTERVAL_S + 2
     assert lab.group.rounds == 0
 
 
