--- a/packages/proxy/src/ferry_proxy/_peers.py
+++ b/packages/proxy/src/ferry_proxy/_peers.py
@@ -15,7 +15,7 @@
 
 # A stream without data for this long is closed. Three pings are due in it.
 PEER_TIMEOUT_S = 1.6
-USER_TIMEOUT_MS = 1_500
+TCP_USER_TIMEOUT_MS = 1_500
 MS_PER_S = 1000
 
 
@@ -213,7 +213,7 @@
         self._is_forgotten = False
         stream.on_data = self._receive
         stream.on_closed = lambda exc: self._fail(str(exc))
-        stream.keep_alive(USER_TIMEOUT_MS)
+        stream.keep_alive(TCP_USER_TIMEOUT_MS)
         self._last_sent_state: _peer_messages.Ping | None = None
         self._pending_replies = 0
         self.tell(_peer_messages.Hello(node))
--- a/packages/proxy/src/ferry_proxy/_promotions.py
+++ b/packages/proxy/src/ferry_proxy/_promotions.py
@@ -37,7 +37,7 @@
 MAX_RANK = 2
 OPINION_WAIT_S = 0.1  # A peer answers in a few ms, a slow one in 25 ms.
 FAILURE_BACKOFF_S = 0.4
-MAX_PROMOTE_WAIT_S = 16.0  # Half of the time for which removed members count.
+MAX_PROMOTE_WAIT_S = 16.0  # About half of `_fencing.MAX_REMOVED_MEMBER_S`.
 # The vetoing peer may lose the primary next, and asking it again is cheap.
 VETO_BACKOFF_S = 0.1
 LEADER_POLL_S = 0.03  # How often a promoted member is asked whether it leads.
@@ -300,7 +300,12 @@
         reports: dict[str, _members.Report],
         held: _records.HeldClaim,
     ) -> "decisions.Flow[str]":
-        """Orders the promotion of a paused replica, and returns its id."""
+        """Orders the promotion of a paused replica, and returns its id.
+
+        Raises:
+            ChangeAbandonedError: The claim is too old, a paused member has
+                restarted, or the platform refused the promotion.
+        """
         ctx = self._ctx
         group = self._group
         members = {n: p.member for n, p in group.pools.items()}
--- a/packages/proxy/src/ferry_proxy/_served_groups.py
+++ b/packages/proxy/src/ferry_proxy/_served_groups.py
@@ -92,7 +92,7 @@
     """The plans of all groups, and the groups that this node serves.
 
     Attributes:
-        keepers: The nodes that own the teams' token buckets.
+        bucket_owners: The nodes that own the teams' token buckets.
     """
 
     def __init__(self, ctx: GroupsContext) -> None:
--- a/packages/proxy/src/ferry_proxy/_serving_plan.py
+++ b/packages/proxy/src/ferry_proxy/_serving_plan.py
@@ -16,7 +16,8 @@
 
 from ferry_proxy import _records
 
-# A node may join while the one that it replaces is still running.
+# All nodes serve only if the connections also suffice for this many more. A
+# node may join while the one that it replaces is still running.
 JOINING_NODES = 1
 # A serving node needs links for a transaction, a single statement and a status
 # request.
@@ -123,11 +124,7 @@
         if max_connections // (len(chosen) + JOINING_NODES) < MIN_LINKS:
             wanted = max_connections // MIN_LINKS - JOINING_NODES
             count = max(
-                1,
-                min(
-                    MAX_SERVING_NODES,
-                    wanted // len(self._data_centres),
-                ),
+                1, min(MAX_SERVING_NODES, wanted // len(self._data_centres))
             )
             chosen = [
                 n
@@ -214,7 +211,11 @@
 def strong_nodes(
     nodes: Collection[_records.NodeEntry],
 ) -> list[_records.NodeEntry]:
-    """Returns the nodes whose cores and bandwidth are near the greatest."""
+    """Returns the nodes with at least `MIN_STRONG_SHARE` of the greatest size.
+
+    That applies to cores and bandwidth alike. If no node has both, all nodes
+    are returned.
+    """
     cores = max(n.cores for n in nodes) * MIN_STRONG_SHARE
     link_mbps = max(n.link_mbps for n in nodes) * MIN_STRONG_SHARE
     strong = [n for n in nodes if n.cores >= cores and n.link_mbps >= link_mbps]
--- a/packages/proxy/src/ferry_proxy/tests/test_promotions.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_promotions.py
@@ -326,8 +326,8 @@
 ):
     """Replicas stay paused while a promotion order may still be executed.
 
-    In the run trouble-3, such an order took long, and the old primary
-    acknowledged commits meanwhile that the successor lacked.
+    In the run trouble-3, such an order took long. Commits that the old primary
+    acknowledges meanwhile would be missing at the successor.
     """
     monkeypatch.setattr(fakes, "PROMOTE_S", 5.0)
     lab = fakes.Lab()
@@ -563,8 +563,7 @@
 def test_commits_are_proved_while_members_are_replaced():
     """Commits still need proof while several members are being replaced.
 
-    In the run rough-48, the second replacement joined on the primary's side of
-    a partition.
+    In the run rough-48, the second replacement joined behind a partition.
     """
     lab = fakes.Lab()
     lab.cluster.members["b"].draining = True
