--- a/packages/proxy/src/ferry_proxy/_claims.py
+++ b/packages/proxy/src/ferry_proxy/_claims.py
@@ -98,7 +98,7 @@
             ChangeAbandonedError: Another node may be.
         """
         if previous is not None and self._is_held_by_another(previous, now):
-            self._group.expect_change()
+            self._group.expect_primary_change()
             raise _fences.ChangeAbandonedError("another node holds the claim")
         # The holder of a claim that the store has lost may not know of the
         # loss yet. The wait also gives members that the restored copy lacks
--- a/packages/proxy/src/ferry_proxy/_fences.py
+++ b/packages/proxy/src/ferry_proxy/_fences.py
@@ -121,7 +121,7 @@
         is known to have received everything up to the newest floor.
         """
         newest = self._group.floors.newest
-        if not self._group.renewed or newest is None:
+        if not self._group.recently_restarted or newest is None:
             return False
         return all(r.received < newest.floor for r in reports.values())
 
@@ -134,7 +134,7 @@
         Args:
             reports: The reports of the paused members, by id.
         """
-        restarted = self._group.lives_ended
+        restarted = self._group.restarted_at
         return any(
             restarted.get(name, float("-inf")) >= self._fence_started_at
             for name in reports
@@ -239,7 +239,7 @@
         """
         now = self._clock.now()
         unsure = 0
-        for name, removed in list(self._group.vanished.items()):
+        for name, removed in list(self._group.removed_members.items()):
             if (
                 name == old_primary
                 or now - removed.at > _fencing.MAX_REMOVED_MEMBER_S
--- a/packages/proxy/src/ferry_proxy/_peer_handler.py
+++ b/packages/proxy/src/ferry_proxy/_peer_handler.py
@@ -6,7 +6,6 @@
 
 import ferry_decisions as decisions
 
-from ferry_proxy import _allowances
 from ferry_proxy import _catalogue
 from ferry_proxy import _clocks
 from ferry_proxy import _followers
@@ -14,6 +13,7 @@
 from ferry_proxy import _members
 from ferry_proxy import _peer_messages
 from ferry_proxy import _peers
+from ferry_proxy import _rate_limiter
 from ferry_proxy import _reachability
 from ferry_proxy import _served_groups
 from ferry_proxy import _serving
@@ -47,7 +47,7 @@
         groups: _served_groups.ServedGroups,
         serving: _serving.Serving,
         reach: _reachability.Reachability,
-        allowances: _allowances.Allowances,
+        rate_limiter: _rate_limiter.RateLimiter,
     ) -> None:
         self.clock = clock
         self.catalogue = catalogue
@@ -55,7 +55,7 @@
         self.groups = groups
         self.serving = serving
         self.reach = reach
-        self.allowances = allowances
+        self.rate_limiter = rate_limiter
 
     def describe(self) -> _peer_messages.Ping:
         """Returns this node's current state for its peers."""
@@ -136,13 +136,13 @@
         served.group.refresh()
 
 
-@_handles(_allowances.AllowanceRequest)
+@_handles(_rate_limiter.AllowanceRequest)
 def _handle_allowance(
     node: PeerMessageHandler,
     _: _peers.PeerStream,
-    body: _allowances.AllowanceRequest,
-) -> "_allowances.AllowanceReply | decisions.Future[typing.Any]":
-    return node.allowances.answer(body)
+    body: _rate_limiter.AllowanceRequest,
+) -> "_rate_limiter.AllowanceReply | decisions.Future[typing.Any]":
+    return node.rate_limiter.answer(body)
 
 
 @_handles(_forward_messages.RunRequest)
--- a/packages/proxy/src/ferry_proxy/_peers.py
+++ b/packages/proxy/src/ferry_proxy/_peers.py
@@ -204,7 +204,7 @@
         self._numbers = itertools.count(1)
         self._heard_at = loop.now()
         self.peer = ""
-        self.covered = decisions.UNREAD
+        self.covered = decisions.UNREAD_REVISION
         self.version = 0
         self.store_seen = float("-inf")
         self.services: frozenset[str] = frozenset()
--- a/packages/proxy/src/ferry_proxy/_promotions.py
+++ b/packages/proxy/src/ferry_proxy/_promotions.py
@@ -171,9 +171,9 @@
         The loss of one link does not mean that the member is lost.
         """
         pool = self._group.leader_pool
-        if pool is None or not pool.contact.is_quiet:
+        if pool is None or not pool.contact.is_unresponsive:
             return
-        if self._ctx.clock.now() - self._group.round_at > RECHECK_S:
+        if self._ctx.clock.now() - self._group.last_round_at > RECHECK_S:
             self._group.refresh()
 
     def _on_change_ended(self, fut: "decisions.Future[None]") -> None:
@@ -200,7 +200,7 @@
             yield from self._confirm_stall()
         held = yield from self._claims.take()
         self._log("claimed", held.claim.token, "", cause.value)
-        self._group.expect_change()
+        self._group.expect_primary_change()
         try:
             yield from self._replace(cause, held)
         finally:
@@ -240,7 +240,9 @@
             pool.member.born if pool else 0,
         )
         futs = [
-            decisions.within(self._ctx.clock, OPINION_WAIT_S, s.call(question))
+            decisions.with_timeout(
+                self._ctx.clock, OPINION_WAIT_S, s.call(question)
+            )
             for s in self._ctx.mesh.streams
         ]
         settled = yield decisions.settle_all(futs, lambda _: False)
@@ -343,7 +345,7 @@
         group = self._group
         started_at = ctx.clock.now()
         while ctx.clock.now() - started_at < self._promote_wait_s:
-            group.expect_change()
+            group.expect_primary_change()
             pool = group.pools.get(successor)
             if pool is None:
                 break
@@ -384,6 +386,6 @@
     It is 0 until the contact counts as unresponsive, which takes longer for a
     member that needs long for a statement.
     """
-    if pool is None or not pool.contact.is_quiet:
+    if pool is None or not pool.contact.is_unresponsive:
         return 0.0
     return min(pool.contact.unanswered_s, pool.contact.silence_s)
--- a/packages/proxy/src/ferry_proxy/_proxy.py
+++ b/packages/proxy/src/ferry_proxy/_proxy.py
@@ -4,7 +4,6 @@
 import ferry_runtime as runtime
 
 from ferry_proxy import _access
-from ferry_proxy import _allowances
 from ferry_proxy import _catalogue
 from ferry_proxy import _currency
 from ferry_proxy import _events
@@ -20,6 +19,7 @@
 from ferry_proxy import _peer_messages
 from ferry_proxy import _planned_stop
 from ferry_proxy import _policy
+from ferry_proxy import _rate_limiter
 from ferry_proxy import _reachability
 from ferry_proxy import _readiness
 from ferry_proxy import _records
@@ -83,7 +83,7 @@
         self.catalogue.on_change.append(self._apply)
         self._roster = _roster.Roster(loop, self.catalogue, self._own.name)
         refusals = _refusals.Refusals(
-            lambda: self._currency.evidence, policy.news_limit_s
+            lambda: self._currency.evidence, policy.max_store_age_s
         )
         access = _access.Access(
             policy.has_teams, lambda: self.catalogue.configuration, refusals
@@ -101,14 +101,14 @@
         self.ticker.subscribe(policy.probe_s, self._groups.survey)
         self.ticker.subscribe(CHECK_S, self._check)
         self.ticker.subscribe(IDLE_CHECK_S, self._end_idle_transactions)
-        loop.on_late(self._groups.forgive)
+        loop.on_late(self._groups.exclude_pause)
         _gauges.add(
             self.metrics,
             _gauges.Sources(
                 self.catalogue,
                 self._follower,
                 self.mesh,
-                self._allowances,
+                self._rate_limiter,
                 self._currency,
             ),
             lambda: self.session_count,
@@ -129,14 +129,14 @@
         self._currency = _currency.Currency(
             loop, self.catalogue, self._follower, self.mesh
         )
-        self._allowances = _allowances.Allowances(
-            _allowances.AllowanceContext(
+        self._rate_limiter = _rate_limiter.RateLimiter(
+            _rate_limiter.RateLimiterContext(
                 clock=loop,
                 policy=self._policy,
                 own=self._own,
                 limit_of=self.catalogue.limit_of,
-                keepers=lambda: self._groups.keepers,
-                homes=lambda: self.catalogue.homes,
+                bucket_owners=lambda: self._groups.bucket_owners,
+                team_placement=lambda: self.catalogue.team_placement,
                 nodes=lambda: self._roster.nodes,
                 streams=lambda: self.mesh.by_name,
             )
@@ -153,7 +153,7 @@
                 promotions=platform.promotions,
                 mesh=self.mesh,
                 metrics=self.metrics,
-                gate=self._allowances,
+                gate=self._rate_limiter,
                 is_stopping=lambda: self.stopping,
             )
         )
@@ -164,7 +164,7 @@
             self.mesh,
             lambda s: self._groups.plans.get(s),
             self._want_peers,
-            lambda: self.catalogue.homes,
+            lambda: self.catalogue.team_placement,
         )
         self.reach = _reachability.Reachability(
             loop, self._policy, self.mesh, self._groups, self._forwarder
@@ -176,7 +176,7 @@
             self._groups,
             self._serving,
             self.reach,
-            self._allowances,
+            self._rate_limiter,
         )
         self.mesh.open(self._message_handler, self.ticker)
         self._registrar = _registrar.Registrar(
@@ -214,14 +214,14 @@
 
     @property
     def _unready_reason(self) -> _readiness.Unready | None:
-        inputs = _readiness.Standing(
+        inputs = _readiness.ReadinessInputs(
             is_stopping=self.stopping,
             has_configuration=self.has_configuration,
             awaits_peers=self._registrar.awaits_peers,
             is_cut_off=self.reach.is_cut_off,
             knows_primary=self._knows_primary,
         )
-        return _readiness.why_not(inputs)
+        return _readiness.unready_reason(inputs)
 
     @property
     def _knows_primary(self) -> bool:
@@ -274,7 +274,7 @@
 
     def _apply(self) -> None:
         """Updates groups and peers from the catalogue."""
-        if self._roster.look():
+        if self._roster.update():
             self._apply_roster()
         elif self._roster.is_known:
             self._apply_groups()
@@ -330,7 +330,7 @@
     def _runs_here(self, service: str, team: str) -> bool:
         """Whether no peer should run the statements instead of this node."""
         if self._groups.can_serve(service):
-            return not self._forwarder.is_elsewhere(service, team)
+            return not self._forwarder.is_served_by_peer(service, team)
         return not self._forwarder.is_served(service)
 
     def _own_runner(self, service: str) -> _runners.Runner | None:
@@ -340,19 +340,19 @@
     # -- periodic work ---------------------------------------------------
 
     def _check(self) -> None:
-        self._currency.look()
+        self._currency.update()
         self.reach.evaluate()
-        self._allowances.check()
+        self._rate_limiter.check()
         self._groups.check()
         if self._needs_seeds:
             self._set_peers()
-        elif self._roster.look():
+        elif self._roster.update():
             self._apply_roster()
         else:
             self._want_peers()
         self._announce_changes()
         if not self.stopping:
-            self._registrar.look()
+            self._registrar.update()
             self._lost_nodes.check()
 
     def _announce_changes(self) -> None:
@@ -383,10 +383,10 @@
         self.stopping = True
         self.mesh.announce()
         _events.emit(_events.NodeStopping(self.session_count))
-        work = _planned_stop.Work(
+        work = _planned_stop.RemainingWork(
             sessions=self._sessions.values(),
             serving=self._serving,
-            is_changing=lambda: self._groups.is_busy,
+            is_primary_changing=lambda: self._groups.is_busy,
         )
         return decisions.start(
             _planned_stop.stop(self._loop, self._identity.grace_s, front, work)
--- a/packages/proxy/src/ferry_proxy/_reachability.py
+++ b/packages/proxy/src/ferry_proxy/_reachability.py
@@ -33,14 +33,14 @@
     pool = group.leader_pool
     if (
         pool is not None
-        and pool.contact.troubled_s > limit_s > pool.contact.silence_s
+        and pool.contact.link_failing_s > limit_s > pool.contact.silence_s
     ):
         return True
     if group.floor_age_s < limit_s:
         return False
     known = group.leader.member if group.leader else group.last_leader
     return any(
-        p.member.leads and p.contact.troubled_s > limit_s
+        p.member.leads and p.contact.link_failing_s > limit_s
         for n, p in group.pools.items()
         if n != known
     )
@@ -57,10 +57,10 @@
         limit_s: For how long this must have lasted, in seconds.
     """
     leader = group.leader_pool
-    if leader is None or leader.contact.troubled_s > 0:
+    if leader is None or leader.contact.link_failing_s > 0:
         return False
     replicas = [p for p in group.pools.values() if p is not leader]
-    replicas_lost = all(p.contact.troubled_s > limit_s for p in replicas)
+    replicas_lost = all(p.contact.link_failing_s > limit_s for p in replicas)
     return bool(replicas) and replicas_lost and group.floor_age_s > limit_s
 
 
--- a/packages/proxy/src/ferry_proxy/_served_groups.py
+++ b/packages/proxy/src/ferry_proxy/_served_groups.py
@@ -5,7 +5,6 @@
 
 import attrs
 
-from ferry_proxy import _allowances
 from ferry_proxy import _catalogue
 from ferry_proxy import _clocks
 from ferry_proxy import _configuration
@@ -18,6 +17,7 @@
 from ferry_proxy import _peers
 from ferry_proxy import _policy
 from ferry_proxy import _promotions
+from ferry_proxy import _rate_limiter
 from ferry_proxy import _records
 from ferry_proxy import _runners
 from ferry_proxy import _serving_plan
@@ -103,7 +103,7 @@
         self._plan_inputs: _PlanInputs | None = None
         self._planner: _serving_plan.Planner | None = None
         self._started_at = ctx.clock.now()
-        self.keepers = _allowances.Keepers()
+        self.bucket_owners = _rate_limiter.BucketOwners()
 
     @property
     def plans(self) -> Mapping[str, _serving_plan.ServingPlan]:
@@ -147,7 +147,7 @@
         }
         if peers_by_name and self._ctx.policy.has_teams:
             nodes = self._ctx.nodes()
-            names = self.keepers.names
+            names = self.bucket_owners.names
             peers_by_name.update({n: nodes[n] for n in names if n in nodes})
         peers_by_name.pop(self._ctx.own.name, None)
         return list(peers_by_name.values())
@@ -197,10 +197,10 @@
         self._plans = {n: planner.plan(n, m) for n, m in limits.items()}
 
     def _set_keepers(self, planner: _serving_plan.Planner) -> None:
-        names = planner.keepers()
-        if names != self.keepers.names:
+        names = planner.bucket_owners()
+        if names != self.bucket_owners.names:
             since = self._ctx.clock.now()
-            self.keepers = _allowances.Keepers(names, since)
+            self.bucket_owners = _rate_limiter.BucketOwners(names, since)
 
     def _apply_service(
         self,
@@ -283,7 +283,7 @@
             age = ctx.clock.boot_now() - held.seen_at
             fresh = age < ctx.policy.claim_valid_s
             if served is not None and not held.claim.done and fresh:
-                served.group.expect_change()
+                served.group.expect_primary_change()
 
     def _note_promoted(self, cause: str, elapsed_s: float) -> None:
         self._ctx.metrics.count("promotions_total", cause=cause)
@@ -326,7 +326,7 @@
             return len(names)
         return 1 + len(heard & names - {self._ctx.own.name})
 
-    def forgive(self, late_s: float) -> None:
+    def exclude_pause(self, late_s: float) -> None:
         """Excludes a pause of this process from the members' silence.
 
         Args:
@@ -342,7 +342,7 @@
                 group.leaderless_since, now - policy.probe_s
             )
             for pool in group.pools.values():
-                pool.contact.forgive(late_s)
+                pool.contact.exclude_pause(late_s)
 
     def close(self) -> None:
         """Removes all members, which closes their links."""
@@ -359,7 +359,7 @@
             floor may be, in seconds.
     """
     pool = group.leader_pool
-    if pool is None or pool.contact.troubled_s > limit_s:
+    if pool is None or pool.contact.link_failing_s > limit_s:
         return False
     return group.floor_age_s < limit_s
 
--- a/packages/proxy/src/ferry_proxy/_serving_plan.py
+++ b/packages/proxy/src/ferry_proxy/_serving_plan.py
@@ -99,7 +99,7 @@
             for name in sorted(by_data_centre)
         }
 
-    def keepers(self) -> frozenset[str]:
+    def bucket_owners(self) -> frozenset[str]:
         """Returns the names of the nodes that own the teams' token buckets.
 
         They are as many as serve a group. If few nodes are strong, they are
--- a/packages/proxy/src/ferry_proxy/_surveys.py
+++ b/packages/proxy/src/ferry_proxy/_surveys.py
@@ -59,7 +59,7 @@
         """Updates a group's floor, by a status round or from the surveyor."""
         self._last_tick_at = self._clock.now()
         stream = self._surveyor(group)
-        if stream is None or group.is_troubled:
+        if stream is None or group.has_failed_contact:
             # A failed contact of this node ends only with an answer to a
             # request of its own.
             group.refresh()
@@ -76,7 +76,7 @@
     def _ask(self, group: _groups.Group, stream: _peers.Peer) -> None:
         asked_at = self._clock.boot_now()
         question = _peer_messages.SurveyRequest(group.service.name)
-        fut = decisions.within(
+        fut = decisions.with_timeout(
             self._clock, SURVEY_TIMEOUT_S, stream.call(question)
         )
         fut.add_done_callback(lambda f: self._apply_reply(group, asked_at, f))
@@ -147,5 +147,5 @@
             decisions.Position(reply.floor_term, reply.floor_index),
         )
         heard = self._clock.now() - reply.heard_ago_s
-        group.take_survey(leader, sample, heard)
+        group.apply_survey(leader, sample, heard)
         self._plan_request(group, reply.age_s)
--- a/packages/proxy/src/ferry_proxy/tests/test_peers.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_peers.py
@@ -159,7 +159,7 @@
     pair.receiver.call(_peer_messages.SyncRequest(0, 0, 0))
     for _ in range(40):
         timers.advance(0.05)
-        assert pair.receiver.unresponsive_s < _forwarder.QUIET_S
+        assert pair.receiver.unresponsive_s < _forwarder.SILENT_PEER_S
     answer.set_result(_peer_messages.OpinionReply(1.0))
     sent = len(pair.raw.sent)
     timers.advance(1.0)
--- a/packages/proxy/src/ferry_proxy/tests/test_promotions.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_promotions.py
@@ -276,7 +276,7 @@
 def test_a_claim_without_an_answer_is_not_acted_upon():
     lab = fakes.Lab()
     lab.add_promoter()
-    lab.store.lost_answers = 1
+    lab.store.replies_to_drop = 1
     lab.cluster.crash("a")
     lab.run(1.2)
     assert lab.cluster.promotions == []
@@ -289,7 +289,7 @@
     """
     lab = fakes.Lab()
     lab.group.note_leader(_members.Leader("b", 2))
-    lab.group._find_leader({"b": report(REPLICA, 3, 0.0, term=1)})
+    lab.group._update_leader({"b": report(REPLICA, 3, 0.0, term=1)})
     assert lab.group.leader == _members.Leader("b", 2)
 
 
@@ -461,14 +461,14 @@
     lab = fakes.Lab()
     lab.cluster.members["a"].dark = True
     lab.run(2.0)
-    assert lab.group.is_troubled
+    assert lab.group.has_failed_contact
     lab.cluster.members["a"].dark = False
     lab.stop_probing()
     surveys = _surveys.Surveys(lab.clock, "n1", FakePeer(lab), 0.4)
     for _ in range(3):
         surveys.survey(lab.group)
         lab.run(POLICY.probe_s)
-    assert not lab.group.is_troubled
+    assert not lab.group.has_failed_contact
 
 
 class FakePeer:
@@ -568,7 +568,7 @@
     lab = fakes.Lab()
     lab.cluster.members["b"].draining = True
     lab.group.set_members(lab.cluster.entries(), lab.limit)
-    assert lab.group.is_in_flux
+    assert lab.group.is_membership_changing
     write(lab, "calm")
     for name in "bc":
         lab.cluster.members[name].paused_term = 2
