--- a/packages/node/src/ferry_node/_answers.py
+++ b/packages/node/src/ferry_node/_answers.py
@@ -8,45 +8,45 @@
 from ferry_node import _wire
 
 
-class Parts:
+class PartBuffer:
     """Parts of a long answer, held back while the answer may be dropped."""
 
-    __slots__ = ("_send", "_held")
+    __slots__ = ("_send", "_buffered")
 
     def __init__(self, send: Callable[[bytes], object]) -> None:
         self._send = send
-        self._held: list[bytes] | None = None
+        self._buffered: list[bytes] | None = None
 
     def hold(self) -> None:
         """Holds parts back from now on."""
-        self._held = []
+        self._buffered = []
 
-    def take(self, data: bytes) -> None:
+    def add(self, data: bytes) -> None:
         """Passes a part on, or holds it back."""
-        if self._held is None:
+        if self._buffered is None:
             self._send(data)
         else:
-            self._held.append(data)
+            self._buffered.append(data)
 
     def drop(self) -> None:
         """Forgets what is held back."""
-        self._held = []
+        self._buffered = []
 
     def release(self) -> None:
         """Passes on what is held back."""
-        held, self._held = self._held, None
-        for data in held or ():
+        buffered, self._buffered = self._buffered, None
+        for data in buffered or ():
             self._send(data)
 
 
 class AnswerFilter:
     """Takes out of an answer what the caller did not ask for."""
 
-    __slots__ = ("_hidden", "_seen", "_splitter")
+    __slots__ = ("_hidden", "_parse_count", "_splitter")
 
     def __init__(self, hidden: frozenset[int]) -> None:
         self._hidden = hidden
-        self._seen = 0
+        self._parse_count = 0
         self._splitter = _wire.FrameSplitter()
 
     def feed(self, data: bytes) -> bytes:
@@ -56,8 +56,8 @@
         kept = []
         for frame in self._splitter.feed(data):
             if frame.kind == _wire.PARSE_COMPLETE:
-                self._seen += 1
-                if self._seen - 1 in self._hidden:
+                self._parse_count += 1
+                if self._parse_count - 1 in self._hidden:
                     continue
             kept.append(frame.data)
         return b"".join(kept)
@@ -71,21 +71,21 @@
         values: For each statement, the value that it shows or has set.
     """
     executed = [
-        _executed(statement, value)
+        _command_result(statement, value)
         for statement, value in zip(batch.statements, values, strict=True)
     ]
-    return _assembled(
-        batch, [_described(s) for s in batch.statements], executed
+    return _assemble(
+        batch, [_row_description(s) for s in batch.statements], executed
     )
 
 
-def ended_answer(batch: _batches.Batch) -> bytes:
+def rollback_answer(batch: _batches.Batch) -> bytes:
     """Returns the answer to the end of a transaction that was lost."""
     executed = _wire.encode_command_complete("ROLLBACK")
-    return _assembled(batch, [b""], [executed])
+    return _assemble(batch, [b""], [executed])
 
 
-def _assembled(
+def _assemble(
     batch: _batches.Batch, described: list[bytes], executed: list[bytes]
 ) -> bytes:
     """Returns one answer for each message of a batch."""
@@ -104,22 +104,22 @@
             case _wire.Describe():
                 if msg.kind == "S":
                     parts.append(_wire.encode_parameter_description([]))
-                shown = described[min(index, len(described) - 1)]
-                parts.append(shown or _wire.NO_DATA_BYTES)
+                description = described[min(index, len(described) - 1)]
+                parts.append(description or _wire.NO_DATA_BYTES)
             case _wire.Execute():
                 parts.append(executed[index])
                 index += 1
     return b"".join(parts)
 
 
-def _described(statement: decisions.Statement) -> bytes:
+def _row_description(statement: decisions.Statement) -> bytes:
     if statement.kind is decisions.StatementKind.SET:
         return b""
     name = decisions.SETTING_PREFIX + statement.name
     return _wire.encode_row_description([name], [_wire.TEXT_OID])
 
 
-def _executed(statement: decisions.Statement, value: str) -> bytes:
+def _command_result(statement: decisions.Statement, value: str) -> bytes:
     if statement.kind is decisions.StatementKind.SET:
         return _wire.encode_command_complete("SET")
     row = _wire.encode_data_row([value.encode()])
--- a/packages/node/src/ferry_node/_auth.py
+++ b/packages/node/src/ferry_node/_auth.py
@@ -40,14 +40,14 @@
     server_key = hmac.digest(salted, b"Server Key", "sha256")
     return decisions.Login(
         name=name,
-        salt=_text(salt),
-        stored_key=_text(stored_key),
-        server_key=_text(server_key),
+        salt=_base64_text(salt),
+        stored_key=_base64_text(stored_key),
+        server_key=_base64_text(server_key),
         iterations=ITERATIONS,
     )
 
 
-def _text(data: bytes) -> str:
+def _base64_text(data: bytes) -> str:
     return base64.b64encode(data).decode()
 
 
@@ -68,17 +68,17 @@
             secret: This process's secret, from which a login that does not
                 exist gets keys that nobody knows.
         """
-        found = login or _nobody(secret)
+        checked_login = login or _unknown_login(secret)
         info = (
-            base64.b64decode(found.salt),
-            base64.b64decode(found.stored_key),
-            base64.b64decode(found.server_key),
-            found.iterations,
+            base64.b64decode(checked_login.salt),
+            base64.b64decode(checked_login.stored_key),
+            base64.b64decode(checked_login.server_key),
+            checked_login.iterations,
         )
         mechanism = scramp.ScramMechanism(MECHANISM)
         self._server = mechanism.make_server(lambda _: info)
 
-    def first(self, client_first: bytes) -> str:
+    def handle_client_first(self, client_first: bytes) -> str:
         """Returns the challenge for the caller's first message.
 
         Raises:
@@ -92,9 +92,9 @@
             self._server.client_first_bare = text.split(",", 2)[2]
             return str(self._server.get_server_first())
         except (scramp.ScramException, ValueError) as exc:
-            raise _refused() from exc
+            raise _login_refused() from exc
 
-    def final(self, client_final: bytes) -> str:
+    def handle_client_final(self, client_final: bytes) -> str:
         """Returns the server's last message for a right password.
 
         Raises:
@@ -104,12 +104,12 @@
             self._server.set_client_final(client_final.decode())
             return str(self._server.get_server_final())
         except (scramp.ScramException, ValueError) as exc:
-            raise _refused() from exc
+            raise _login_refused() from exc
 
 
-def _refused() -> decisions.RequestFailedError:
+def _login_refused() -> decisions.RequestFailedError:
     return decisions.RequestFailedError(decisions.LOGIN_REFUSED)
 
 
-def _nobody(secret: bytes) -> decisions.Login:
+def _unknown_login(secret: bytes) -> decisions.Login:
     return make_login("nobody", secret.hex(), secret[:16])
--- a/packages/node/src/ferry_node/_batches.py
+++ b/packages/node/src/ferry_node/_batches.py
@@ -92,8 +92,8 @@
         "_messages",
         "_sql",
         "_hidden",
-        "_parses",
-        "_current",
+        "_parse_count",
+        "_current_name",
         "_portals",
         "_executed",
     )
@@ -111,33 +111,33 @@
         self._messages: list[_wire.Message] = []
         self._sql: dict[str, str] = {}
         self._hidden: list[int] = []
-        self._parses = 0
-        self._current: str | None = None
+        self._parse_count = 0
+        self._current_name: str | None = None
         self._portals: dict[str, str] = {}
         self._executed: list[decisions.Statement] = []
 
-    def take(self, msg: _wire.Message) -> Batch | None:
+    def add(self, msg: _wire.Message) -> Batch | None:
         """Takes a message in; returns the batch that it completes, if any.
 
         Raises:
             UnsupportedMessageError: The message is not offered.
         """
         if isinstance(msg, _wire.Query):
-            return self._simple(msg)
+            return self._make_simple_batch(msg)
         self._messages.append(msg)
         match msg:
             case _wire.Parse():
-                self._take_parse(msg)
+                self._handle_parse(msg)
             case _wire.Bind():
-                self._take_bind(msg)
+                self._handle_bind(msg)
             case _wire.Describe():
-                self._take_describe(msg)
+                self._handle_describe(msg)
             case _wire.Execute():
                 sql = self._portals.get(msg.portal, "")
                 self._executed.append(decisions.classify(sql))
                 self._parts.append(msg.to_wire())
             case _wire.Close():
-                self._take_close(msg)
+                self._handle_close(msg)
             case _wire.Sync():
                 return self._complete(flushed=False)
             case _wire.Flush():
@@ -147,16 +147,16 @@
                 raise UnsupportedMessageError(type(msg).__name__)
         return None
 
-    def _simple(self, msg: _wire.Query) -> Batch:
+    def _make_simple_batch(self, msg: _wire.Query) -> Batch:
         statement = decisions.classify(msg.query_string)
         return Batch(msg.to_wire(), (statement,), True, messages=(msg,))
 
-    def _take_parse(self, msg: _wire.Parse) -> None:
+    def _handle_parse(self, msg: _wire.Parse) -> None:
         if msg.statement:
-            self._remember(msg)
+            self._store_named(msg)
         self._add_parse(msg, msg.statement)
 
-    def _remember(self, msg: _wire.Parse) -> None:
+    def _store_named(self, msg: _wire.Parse) -> None:
         if self._named is None:
             self._named = {}
         if len(self._named) >= MAX_STATEMENTS:
@@ -168,25 +168,25 @@
             statement="", query=msg.query, param_types=msg.param_types
         )
         self._parts.append(unnamed.to_wire())
-        self._parses += 1
-        self._current = name
+        self._parse_count += 1
+        self._current_name = name
         self._sql[name] = msg.query
 
-    def _use(self, name: str) -> None:
+    def _select_statement(self, name: str) -> None:
         """Makes a statement the unnamed one at the endpoint."""
-        if self._current == name or not name:
+        if self._current_name == name or not name:
             return
         known = (self._named or {}).get(name)
         if known is None:
             return  # The endpoint answers that there is no such statement.
-        self._hidden.append(self._parses)
+        self._hidden.append(self._parse_count)
         self._add_parse(known, name)
 
-    def _take_bind(self, msg: _wire.Bind) -> None:
+    def _handle_bind(self, msg: _wire.Bind) -> None:
         name = msg.statement
-        self._use(name)
+        self._select_statement(name)
         self._portals[msg.portal] = self._sql.get(name, "")
-        if self._current == name:
+        if self._current_name == name:
             msg = _wire.Bind(
                 portal=msg.portal,
                 statement="",
@@ -196,14 +196,14 @@
             )
         self._parts.append(msg.to_wire())
 
-    def _take_describe(self, msg: _wire.Describe) -> None:
+    def _handle_describe(self, msg: _wire.Describe) -> None:
         if msg.kind == "S":
-            self._use(msg.name)
-            if self._current == msg.name:
+            self._select_statement(msg.name)
+            if self._current_name == msg.name:
                 msg = _wire.Describe(kind="S", name="")
         self._parts.append(msg.to_wire())
 
-    def _take_close(self, msg: _wire.Close) -> None:
+    def _handle_close(self, msg: _wire.Close) -> None:
         if msg.kind == "S":
             if self._named is not None:
                 self._named.pop(msg.name, None)
--- a/packages/node/src/ferry_node/_callers.py
+++ b/packages/node/src/ferry_node/_callers.py
@@ -89,10 +89,10 @@
         self.secret = secrets.token_bytes(SECRET_BYTES)
         self.stopping = False
         self._timer: decisions.Timer | None = ctx.loop.after(
-            LOGIN_TIMEOUT_S, self._login_expired
+            LOGIN_TIMEOUT_S, self._on_login_timeout
         )
         stream.on_data = self._receive
-        stream.on_closed = self._lost
+        stream.on_closed = self._on_stream_closed
 
     @property
     def busy(self) -> bool:
@@ -102,43 +102,45 @@
 
     def cancel(self, secret: bytes) -> None:
         """Asks to stop what is under way, if the secret is right."""
-        right = hmac.compare_digest(secret, self.secret)
-        if right and self._session is not None:
+        is_valid = hmac.compare_digest(secret, self.secret)
+        if is_valid and self._session is not None:
             self._session.cancel()
 
     def stop(self) -> None:
         """Closes the connection as soon as nothing is under way."""
         self.stopping = True
         if not self.busy:
-            self._end(decisions.STOPPING, "this node is being stopped")
+            self._end_with_error(
+                decisions.STOPPING, "this node is being stopped"
+            )
 
     def close(self) -> None:
         """Closes the connection at once."""
         self._stream.close()
-        self._closed()
+        self._release()
 
     def _receive(self, data: bytes) -> None:
         try:
             for msg in self._decoder.feed(data):
                 if self._stream.closed:
                     return
-                self._take(msg)
+                self._handle_message(msg)
         except _wire.MalformedMessageError as exc:
-            self._end(decisions.PROTOCOL_VIOLATION, str(exc))
+            self._end_with_error(decisions.PROTOCOL_VIOLATION, str(exc))
         except decisions.RequestFailedError as exc:
-            self._end(exc.reason, exc.detail)
+            self._end_with_error(exc.reason, exc.detail)
 
-    def _take(self, msg: _wire.Message) -> None:
+    def _handle_message(self, msg: _wire.Message) -> None:
         if isinstance(msg, _wire.Terminate):
             self.close()
         elif self._session is not None:
-            self._take_statement(self._session, msg)
+            self._handle_statement(self._session, msg)
         elif self._dialog is not None:
-            self._take_login(self._dialog, msg)
+            self._handle_login(self._dialog, msg)
         else:
-            self._take_startup(msg)
+            self._handle_startup(msg)
 
-    def _take_startup(self, msg: _wire.Message) -> None:
+    def _handle_startup(self, msg: _wire.Message) -> None:
         match msg:
             case _wire.SSLRequest():
                 self._stream.send(
@@ -166,10 +168,10 @@
                     decisions.PROTOCOL_VIOLATION, type(msg).__name__
                 )
 
-    def _take_login(
+    def _handle_login(
         self, dialog: _login.LoginDialog, msg: _wire.Message
     ) -> None:
-        self._stream.send(dialog.take(msg))
+        self._stream.send(dialog.handle(msg))
         if dialog.granted is None:
             self._decoder.expect_sasl_response()
             return
@@ -188,7 +190,7 @@
             )
         )
 
-    def _take_statement(
+    def _handle_statement(
         self, session: _conversation.Conversation, msg: _wire.Message
     ) -> None:
         if self._skipping:
@@ -199,7 +201,7 @@
         if self._reader is None:
             self._reader = _batches.BatchReader()
         try:
-            batch = self._reader.take(msg)
+            batch = self._reader.add(msg)
         except decisions.RequestFailedError as exc:
             self._reader.reset()
             self._skipping = True
@@ -208,23 +210,25 @@
         if batch is None:
             return
         if not self._busy:
-            self._start(session, batch)
+            self._start_batch(session, batch)
             return
         if self._batches is None:
             self._batches = collections.deque()
         self._batches.append(batch)
         if len(self._batches) > MAX_PIPELINED:
-            self._end(decisions.OVERLOADED, "too many batches in one pipeline")
+            self._end_with_error(
+                decisions.OVERLOADED, "too many batches in one pipeline"
+            )
 
-    def _start(
+    def _start_batch(
         self, session: _conversation.Conversation, batch: _batches.Batch
     ) -> None:
         self._busy = True
         session.run(batch).add_done_callback(
-            lambda fut: self._finished(session, fut)
+            lambda fut: self._on_batch_done(session, fut)
         )
 
-    def _finished(
+    def _on_batch_done(
         self,
         session: _conversation.Conversation,
         fut: "decisions.Future[None]",
@@ -232,14 +236,14 @@
         exc = fut.exception()
         if exc is not None:
             logging.error("event=batch_failed", exc_info=exc)
-            self._end(decisions.ANSWER_LOST, "internal failure")
+            self._end_with_error(decisions.ANSWER_LOST, "internal failure")
         if self._stream.closed:
             self._busy = False
             session.close()
             return
         if self._batches:
             batch = self._batches.popleft()
-            self._ctx.loop.call_soon(lambda: self._start(session, batch))
+            self._ctx.loop.call_soon(lambda: self._start_batch(session, batch))
             return
         self._busy = False
         if self.stopping:
@@ -248,22 +252,24 @@
     def _send(self, data: bytes) -> None:
         self._stream.send(data)
         if self._stream.queued > HIGH_WATER_BYTES:
-            self._end(decisions.ANSWER_LOST, "the caller does not read")
+            self._end_with_error(
+                decisions.ANSWER_LOST, "the caller does not read"
+            )
 
-    def _login_expired(self) -> None:
-        self._end(decisions.LOGIN_REFUSED, "login took too long")
+    def _on_login_timeout(self) -> None:
+        self._end_with_error(decisions.LOGIN_REFUSED, "login took too long")
 
-    def _end(self, reason: decisions.Reason, detail: str) -> None:
+    def _end_with_error(self, reason: decisions.Reason, detail: str) -> None:
         if self._stream.closed:
             return
         self._stream.send(_wire.encode_error(reason, detail, "FATAL"))
         self._stream.close_when_sent()
-        self._closed()
+        self._release()
 
-    def _lost(self, _: runtime.StreamClosedError) -> None:
-        self._closed()
+    def _on_stream_closed(self, _: runtime.StreamClosedError) -> None:
+        self._release()
 
-    def _closed(self) -> None:
+    def _release(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/packages/node/src/ferry_node/_conversation.py
+++ b/packages/node/src/ferry_node/_conversation.py
@@ -63,7 +63,7 @@
         "_send",
         "_state",
         "_transaction",
-        "_token_sent",
+        "_last_token_sent",
         "_wrote_at",
         "_skipping",
         "_cancel_key",
@@ -89,7 +89,7 @@
         self._send = send
         self._state = state
         self._transaction: _Transaction | None = None
-        self._token_sent = ""
+        self._last_token_sent = ""
         self._wrote_at = float("-inf")
         self._skipping = False
         self._cancel_key = 0
@@ -108,14 +108,14 @@
         if self._cancel_key:
             self._ctx.dispatcher.cancel(self._cancel_key)
 
-    def _fail(
+    def _fail_batch(
         self, batch: _batches.Batch, reason: decisions.Reason, detail: str
     ) -> None:
         """Sends an error that ends a batch."""
         self._send(_wire.encode_error(reason, detail))
-        self._end(batch, failed=True)
+        self._end_batch(batch, failed=True)
 
-    def _end(self, batch: _batches.Batch, failed: bool) -> None:
+    def _end_batch(self, batch: _batches.Batch, failed: bool) -> None:
         """Ends a batch; after a failure, all up to the Sync is skipped."""
         if not batch.flushed:
             self.send_ready()
@@ -139,13 +139,13 @@
         transaction = self._transaction
         if self._skipping:
             self._skipping = batch.flushed
-            self._end(batch, failed=False)
+            self._end_batch(batch, failed=False)
         elif batch.is_empty:
             self.send_ready()
         elif transaction is not None and not transaction.channel:
-            self._answer_lost(batch)
+            self._answer_in_failed_transaction(batch)
         elif batch.flushed and not self._may_flush(batch):
-            self._fail(
+            self._fail_batch(
                 batch,
                 decisions.UNSUPPORTED,
                 "a Flush between writes outside of a transaction",
@@ -153,7 +153,7 @@
         elif batch.is_local:
             self._run_local(batch)
         elif batch.changes_session:
-            self._fail(
+            self._fail_batch(
                 batch,
                 decisions.UNSUPPORTED,
                 "endpoint connections are shared; session state is not kept",
@@ -169,12 +169,12 @@
         begins = batch.first_kind is decisions.StatementKind.BEGIN
         return batch.is_read or batch.is_local or begins or self.in_transaction
 
-    def _answer_lost(self, batch: _batches.Batch) -> None:
+    def _answer_in_failed_transaction(self, batch: _batches.Batch) -> None:
         """Answers inside a transaction that is already rolled back."""
         ends = batch.first_kind is decisions.StatementKind.END
         if ends and len(batch.statements) == 1:
             self._transaction = None
-            self._send(_answers.ended_answer(batch))
+            self._send(_answers.rollback_answer(batch))
         else:
             self._send(
                 _wire.encode_sqlstate(
@@ -182,7 +182,7 @@
                     "the transaction was rolled back; end it",
                 )
             )
-        self._end(batch, failed=not ends)
+        self._end_batch(batch, failed=not ends)
 
     def _run_local(self, batch: _batches.Batch) -> None:
         values = []
@@ -196,44 +196,46 @@
                 else:
                     values.append(self._state.setting(statement.name))
         except decisions.RequestFailedError as exc:
-            self._fail(batch, exc.reason, exc.detail)
+            self._fail_batch(batch, exc.reason, exc.detail)
             return
         self._send(_answers.local_answer(batch, values))
-        self._end(batch, failed=False)
+        self._end_batch(batch, failed=False)
 
     def _run_remote(self, batch: _batches.Batch) -> "decisions.Flow[None]":
-        begun = self._ctx.timers.now()
+        started_at = self._ctx.timers.now()
         span = self._ctx.tracer.begin("caller")
-        lookup = self._floor_lookup(batch)
-        filtered = _answers.AnswerFilter(batch.hidden)
-        parts = _answers.Parts(lambda data: self._send(filtered.feed(data)))
-        if lookup is not None:
+        floor_lookup = self._floor_lookup(batch)
+        answer_filter = _answers.AnswerFilter(batch.hidden)
+        parts = _answers.PartBuffer(
+            lambda data: self._send(answer_filter.feed(data))
+        )
+        if floor_lookup is not None:
             parts.hold()
             if self._state.floor(self._identity.database) is None:
-                yield from self._take_floor(lookup)
+                yield from self._apply_floor(floor_lookup)
         self._cancel_key = next(self._ctx.cancel_keys)
         req = self._request(batch, span.context)
         if req.idempotency_key and (req.begin or self._transaction):
-            self._fail(
+            self._fail_batch(
                 batch,
                 decisions.UNSUPPORTED,
                 "an idempotency key in a transaction",
             )
             return
-        reply = yield from self._dispatch(req, begun, parts.take)
-        if lookup is not None:
-            yield from self._take_floor(lookup)
-            if not self._shows_floor(reply):
+        reply = yield from self._dispatch(req, started_at, parts.add)
+        if floor_lookup is not None:
+            yield from self._apply_floor(floor_lookup)
+            if not self._reaches_floor(reply):
                 parts.drop()
                 req = self._request(batch, span.context)
-                reply = yield from self._dispatch(req, begun, parts.take)
+                reply = yield from self._dispatch(req, started_at, parts.add)
             parts.release()
         outcome = reply.reason or "ran"
-        elapsed = self._ctx.timers.now() - begun
+        elapsed = self._ctx.timers.now() - started_at
         self._ctx.metrics(self._identity.customer, elapsed, outcome)
         span.end(outcome)
-        self._note_reply(batch, reply)
-        self._answer(batch, reply, filtered)
+        self._update_session(batch, reply)
+        self._answer(batch, reply, answer_filter)
 
     def _floor_lookup(
         self, batch: _batches.Batch
@@ -253,27 +255,27 @@
             self._identity.database, self._session_key
         )
 
-    def _take_floor(
-        self, lookup: "decisions.Future[decisions.Position | None]"
+    def _apply_floor(
+        self, floor_lookup: "decisions.Future[decisions.Position | None]"
     ) -> "decisions.Flow[None]":
         """Waits for the floor; without one, the primary has to answer."""
-        found = yield lookup
+        found = yield floor_lookup
         database = self._identity.database
         if found is None:
             self._state = self._state.without_floor(database)
         else:
             self._state = self._state.with_floor(database, found)
 
-    def _shows_floor(self, reply: _messages.ExecuteReply) -> bool:
+    def _reaches_floor(self, reply: _messages.ExecuteReply) -> bool:
         """Whether an answer shows the floor that has been looked up."""
         if reply.reason:
             return True
         floor = self._state.floor(self._identity.database)
         if floor is None or not reply.position:
             return False
-        shown = decisions.Position.from_text(reply.position)
+        position = decisions.Position.from_text(reply.position)
         return self._ctx.dispatcher.satisfies(
-            self._identity.database, shown, floor
+            self._identity.database, position, floor
         )
 
     @property
@@ -311,13 +313,13 @@
     def _dispatch(
         self,
         req: _messages.ExecuteRequest,
-        begun: float,
+        started_at: float,
         on_part: Callable[[bytes], object],
     ) -> "decisions.Flow[_messages.ExecuteReply]":
         transaction = self._transaction
         if transaction is not None:
             return (yield from self._continue(transaction, req, on_part))
-        since = begun - self._wrote_at
+        since = started_at - self._wrote_at
         reply, target = yield self._ctx.dispatcher.run(req, since, on_part)
         if reply.channel and target is not None:
             self._transaction = _Transaction(target, reply.channel)
@@ -331,14 +333,14 @@
     ) -> "decisions.Flow[_messages.ExecuteReply]":
         """Runs a batch where the transaction is open."""
         target = transaction.target
-        bound = attrs.evolve(
+        continued = attrs.evolve(
             req,
             member=target.member,
             as_primary=target.primary,
             channel=transaction.channel,
             begin=False,
         )
-        reply = yield self._ctx.dispatcher.send(target.node, bound, on_part)
+        reply = yield self._ctx.dispatcher.send(target.node, continued, on_part)
         lost = bool(reply.reason) and not reply.channel
         if lost and reply.reason == decisions.TRANSACTION_LOST.name:
             transaction.channel = 0
@@ -347,7 +349,7 @@
             self._transaction = None
         return typing.cast(_messages.ExecuteReply, reply)
 
-    def _note_reply(
+    def _update_session(
         self, batch: _batches.Batch, reply: _messages.ExecuteReply
     ) -> None:
         if reply.reason:
@@ -366,24 +368,24 @@
         self,
         batch: _batches.Batch,
         reply: _messages.ExecuteReply,
-        filtered: _answers.AnswerFilter,
+        answer_filter: _answers.AnswerFilter,
     ) -> None:
         if reply.reason:
             reason = decisions.REASONS_BY_NAME.get(
                 reply.reason, decisions.ANSWER_LOST
             )
-            self._fail(batch, reason, reply.detail)
+            self._fail_batch(batch, reason, reply.detail)
             return
-        data = filtered.feed(reply.data)
+        data = answer_filter.feed(reply.data)
         token = self._state.token
         if batch.flushed:
             self._send(data[:-_READY_SIZE])
-            self._end(batch, failed=bool(reply.sqlstate))
+            self._end_batch(batch, failed=bool(reply.sqlstate))
             return
-        if token == self._token_sent:
+        if token == self._last_token_sent:
             self._send(data)
             return
-        self._token_sent = token
+        self._last_token_sent = token
         body, ready = data[:-_READY_SIZE], data[-_READY_SIZE:]
         parameter = _wire.encode_parameter(_wire.SESSION_PARAMETER, token)
         self._send(body + parameter + ready)
--- a/packages/node/src/ferry_node/_drivers.py
+++ b/packages/node/src/ferry_node/_drivers.py
@@ -16,8 +16,8 @@
 from ferry_node import _settings
 from ferry_node import _wire
 
-REFUSED_SQLSTATE = "55000"
-FOLLOW_TIMEOUT_S = 2.0
+ORDER_REFUSED_SQLSTATE = "55000"
+CONTROL_TIMEOUT_S = 2.0
 CONTROL_USER_SUFFIX = "-control"
 CONTROL_FUNCTION = "rosemaryferry_control"
 
@@ -87,14 +87,14 @@
         self, order: ControlOrder, timeout_s: float
     ) -> "decisions.Flow[decisions.MemberStatus]":
         """Sends one order; returns the status that the member answers."""
-        found = yield from self.ask_raw(order, timeout_s)
-        return decisions.structure(found, decisions.MemberStatus, "status")
+        value = yield from self.ask_raw(order, timeout_s)
+        return decisions.structure(value, decisions.MemberStatus, "status")
 
     def ask_raw(
         self, order: ControlOrder, timeout_s: float
     ) -> "decisions.Flow[typing.Any]":
         """Sends one order; returns the JSON value that the member answers."""
-        conn = yield from self._connected()
+        conn = yield from self._open_connection()
         payload = encode_order(order)
         try:
             answer = yield decisions.with_timeout(
@@ -106,14 +106,14 @@
         ) as exc:
             conn.close()
             raise decisions.EndpointUnreachableError(str(exc)) from exc
-        return _value_in(answer)
+        return _decode_answer(answer)
 
     def close(self) -> None:
         """Closes the connection."""
         if self._conn is not None:
             self._conn.close()
 
-    def _connected(self) -> "decisions.Flow[_endpoint.EndpointConn]":
+    def _open_connection(self) -> "decisions.Flow[_endpoint.EndpointConn]":
         conn = self._conn
         if conn is None or conn.closed:
             conn = _endpoint.EndpointConn(
@@ -140,14 +140,14 @@
 def encode_order(order: ControlOrder) -> bytes:
     """Returns the statement of an order, without what is at its default."""
     raw = decisions.unstructure(order)
-    plain = decisions.unstructure(ControlOrder(order.op))
-    raw = {n: v for n, v in raw.items() if n == "op" or v != plain[n]}
+    defaults = decisions.unstructure(ControlOrder(order.op))
+    raw = {n: v for n, v in raw.items() if n == "op" or v != defaults[n]}
     text = json.dumps(raw, separators=(",", ":")).replace("'", "''")
     return _wire.encode_query(f"SELECT {CONTROL_FUNCTION}('{text}')")
 
 
-def _value_in(answer: _endpoint.Answer) -> typing.Any:
-    if answer.sqlstate == REFUSED_SQLSTATE:
+def _decode_answer(answer: _endpoint.Answer) -> typing.Any:
+    if answer.sqlstate == ORDER_REFUSED_SQLSTATE:
         raise decisions.EndpointRefusedError()
     for frame in answer.frames:
         if frame.kind == _wire.ROW:
@@ -174,7 +174,7 @@
             return _ControlLink(loop, member, database.name, cfg)
 
         self._links = {m.name: link(m) for m in database.members}
-        self._waits = {m.name: link(m) for m in database.members}
+        self._wait_links = {m.name: link(m) for m in database.members}
 
     def status(
         self, member: decisions.Member
@@ -187,7 +187,7 @@
     ) -> "decisions.Future[decisions.MemberStatus]":
         """Makes a member take statements from one owner only."""
         return self._ask(
-            member, ControlOrder("own", owner=owner), FOLLOW_TIMEOUT_S
+            member, ControlOrder("own", owner=owner), CONTROL_TIMEOUT_S
         )
 
     def is_running(
@@ -203,19 +203,19 @@
     ) -> "decisions.Future[decisions.MemberStatus]":
         """Makes a member promise a term to one claim."""
         order = ControlOrder("fence", term=term, claim_id=claim_id)
-        return self._ask(member, order, FOLLOW_TIMEOUT_S)
+        return self._ask(member, order, CONTROL_TIMEOUT_S)
 
     def promote(
         self, member: decisions.Member, order: decisions.PromoteOrder
     ) -> "decisions.Future[decisions.MemberStatus]":
         """Makes a fenced member the primary."""
-        return self._lead("promote", member, order)
+        return self._set_primary("promote", member, order)
 
     def follow(
         self, member: decisions.Member, order: decisions.PromoteOrder
     ) -> "decisions.Future[decisions.MemberStatus]":
         """Makes a member a replica of the primary."""
-        return self._lead("follow", member, order)
+        return self._set_primary("follow", member, order)
 
     def wait_received(
         self,
@@ -228,16 +228,16 @@
         order = ControlOrder(
             "wait", term=term, index=index, timeout_s=timeout_s
         )
-        link = self._waits[member.name]
-        allowed = timeout_s + self._probe_timeout_s
-        return decisions.start(link.ask(order, allowed))
+        link = self._wait_links[member.name]
+        total_timeout_s = timeout_s + self._probe_timeout_s
+        return decisions.start(link.ask(order, total_timeout_s))
 
     def close(self) -> None:
         """Closes all control connections."""
-        for link in [*self._links.values(), *self._waits.values()]:
+        for link in [*self._links.values(), *self._wait_links.values()]:
             link.close()
 
-    def _lead(
+    def _set_primary(
         self, op: str, member: decisions.Member, order: decisions.PromoteOrder
     ) -> "decisions.Future[decisions.MemberStatus]":
         request = ControlOrder(
@@ -246,7 +246,7 @@
             primary=order.primary.name,
             starts=order.starts,
         )
-        return self._ask(member, request, FOLLOW_TIMEOUT_S)
+        return self._ask(member, request, CONTROL_TIMEOUT_S)
 
     def _ask(
         self, member: decisions.Member, order: ControlOrder, timeout_s: float
--- a/packages/node/src/ferry_node/_endpoint.py
+++ b/packages/node/src/ferry_node/_endpoint.py
@@ -13,9 +13,9 @@
 
 from ferry_node import _wire
 
-BUFFER_BYTES = 1 << 18
-USER_TIMEOUT_MS = 1_500
-TAIL_FRAMES = 2
+STREAM_THRESHOLD_BYTES = 1 << 18
+TCP_USER_TIMEOUT_MS = 1_500
+HELD_BACK_FRAMES = 2
 
 Sink = Callable[[bytes], object]
 
@@ -87,10 +87,10 @@
         self._host = host
         self._port = port
         self._stream = runtime.connect(loop, host, port)
-        self._stream.keep_alive(USER_TIMEOUT_MS)
+        self._stream.keep_alive(TCP_USER_TIMEOUT_MS)
         self._splitter = _wire.FrameSplitter()
         self._pending: collections.deque[_Pending] = collections.deque()
-        self._key = (0, b"")
+        self._backend_key = (0, b"")
         self._position: decisions.Position | None = None
         self.ready: decisions.Future[EndpointConn] = decisions.Future()
         self.closed = False
@@ -98,17 +98,17 @@
         self.term = int(parameters.get(_wire.TERM_PARAMETER, "0"))
         self.idle_since = loop.now()
         self.on_closed: Callable[[EndpointConn], object] | None = None
-        self._timer = loop.after(connect_timeout_s, self._connect_expired)
+        self._timer = loop.after(connect_timeout_s, self._on_connect_timeout)
         self._stream.on_open = lambda: self._stream.send(
             _wire.encode_startup(parameters)
         )
         self._stream.on_data = self._receive
-        self._stream.on_closed = self._lost
+        self._stream.on_closed = self._on_stream_closed
 
     @property
     def process_id(self) -> int:
         """The endpoint's number of this connection."""
-        return self._key[0]
+        return self._backend_key[0]
 
     @property
     def position(self) -> decisions.Position | None:
@@ -153,7 +153,7 @@
 
     def _send_cancel(self) -> None:
         stream = runtime.connect(self._loop, self._host, self._port)
-        request = _wire.encode_cancel(*self._key)
+        request = _wire.encode_cancel(*self._backend_key)
 
         def send() -> None:
             stream.send(request)
@@ -164,17 +164,17 @@
     def _receive(self, data: bytes) -> None:
         try:
             for frame in self._splitter.feed(data):
-                self._take(frame)
+                self._handle_frame(frame)
         except (_wire.MalformedMessageError, ValueError) as exc:
             self._stream.close()
             self._finish(EndpointLostError(str(exc)))
 
-    def _take(self, frame: _wire.Frame) -> None:
+    def _handle_frame(self, frame: _wire.Frame) -> None:
         if not self.ready.done():
-            self._take_startup(frame)
+            self._handle_startup(frame)
             return
         if frame.kind == _wire.PARAMETER:
-            self._take_parameter(frame)
+            self._handle_parameter(frame)
             return
         if not self._pending:
             return
@@ -187,7 +187,10 @@
             self._complete(pending, frame)
             return
         pending.buffered += len(frame.data)
-        if pending.sink is not None and pending.buffered > BUFFER_BYTES:
+        if (
+            pending.sink is not None
+            and pending.buffered > STREAM_THRESHOLD_BYTES
+        ):
             self._stream_out(pending)
 
     def _stream_out(self, pending: _Pending) -> None:
@@ -195,7 +198,7 @@
         assert pending.sink is not None
         parts = []
         frames = pending.answer.frames
-        while len(frames) > TAIL_FRAMES:
+        while len(frames) > HELD_BACK_FRAMES:
             parts.append(frames.popleft().data)
         pending.buffered = sum(len(f.data) for f in frames)
         pending.answer.streamed = True
@@ -208,36 +211,36 @@
         self.idle_since = self._loop.now()
         decisions.resolve(pending.fut, pending.answer)
 
-    def _take_parameter(self, frame: _wire.Frame) -> None:
+    def _handle_parameter(self, frame: _wire.Frame) -> None:
         name, value = _wire.parameter(frame)
         if name == _wire.POSITION_PARAMETER:
             self._position = decisions.Position.from_text(value)
 
-    def _take_startup(self, frame: _wire.Frame) -> None:
+    def _handle_startup(self, frame: _wire.Frame) -> None:
         if frame.kind == _wire.ERROR:
             fields = _wire.error_fields(frame)
-            self._refuse(fields.get("C", "XX000"), fields.get("M", ""))
+            self._fail_login(fields.get("C", "XX000"), fields.get("M", ""))
         elif frame.kind == _wire.AUTHENTICATION:
             if _wire.authentication_code(frame) != 0:
-                self._refuse("28000", "endpoint asks for an unknown login")
+                self._fail_login("28000", "endpoint asks for an unknown login")
         elif frame.kind == _wire.PARAMETER:
-            self._take_parameter(frame)
+            self._handle_parameter(frame)
         elif frame.kind == _wire.BACKEND_KEY:
-            self._key = _wire.backend_key(frame)
+            self._backend_key = _wire.backend_key(frame)
         elif frame.kind == _wire.READY:
             self._timer.cancel()
             self.idle_since = self._loop.now()
             decisions.resolve(self.ready, self)
 
-    def _refuse(self, sqlstate: str, message: str) -> None:
+    def _fail_login(self, sqlstate: str, message: str) -> None:
         self._stream.close()
         self._finish(EndpointLoginError(sqlstate, message))
 
-    def _connect_expired(self) -> None:
+    def _on_connect_timeout(self) -> None:
         self._stream.close()
         self._finish(decisions.EndpointUnreachableError("connection timed out"))
 
-    def _lost(self, exc: runtime.StreamClosedError) -> None:
+    def _on_stream_closed(self, exc: runtime.StreamClosedError) -> None:
         if not self.ready.done():
             self._finish(
                 decisions.EndpointUnreachableError(str(exc), exc.refused)
@@ -252,7 +255,7 @@
         self._timer.cancel()
         decisions.reject(self.ready, exc)
         pending, self._pending = self._pending, collections.deque()
-        for each in pending:
-            decisions.reject(each.fut, exc)
+        for request in pending:
+            decisions.reject(request.fut, exc)
         if self.on_closed is not None:
             self.on_closed(self)
--- a/packages/node/src/ferry_node/_entry.py
+++ b/packages/node/src/ferry_node/_entry.py
@@ -17,13 +17,13 @@
 from ferry_node import _settings
 from ferry_node import _targets
 
-MAX_HELD = 2_000
-FIRST_BACKOFF_S = 0.01
-LAST_BACKOFF_S = 0.25
+MAX_PAUSED_BATCHES = 2_000
+MIN_BACKOFF_S = 0.01
+MAX_BACKOFF_S = 0.25
 RETRY_SHARE = 0.1
 RETRY_BURST = 20.0
 FLOOR_TIMEOUT_S = 0.05
-GIVE_UP_S = 0.15
+REPLACED_PRIMARY_GRACE_S = 0.15
 
 TRY_ELSEWHERE = frozenset(
     {
@@ -51,7 +51,7 @@
 ]
 
 
-Routed = tuple[_messages.ExecuteReply, _targets.Target | None]
+RoutedReply = tuple[_messages.ExecuteReply, _targets.Target | None]
 """A reply, and the member that gave it."""
 
 
@@ -126,11 +126,11 @@
             )
         )
         self._random = random.Random(ctx.cfg.node)
-        self._sent: dict[int, decisions.Node] = {}
-        self._held: dict[str, set[decisions.Future[None]]] = (
+        self._node_by_cancel_key: dict[int, decisions.Node] = {}
+        self._paused: dict[str, set[decisions.Future[None]]] = (
             collections.defaultdict(set)
         )
-        self._under_way: dict[
+        self._primary_requests: dict[
             str, set[decisions.Future[_messages.ExecuteReply]]
         ] = collections.defaultdict(set)
         self.reads_by_replicas = 0
@@ -141,7 +141,7 @@
         req: _messages.ExecuteRequest,
         since_write_s: float,
         on_part: Callable[[bytes], object],
-    ) -> "decisions.Future[Routed]":
+    ) -> "decisions.Future[RoutedReply]":
         """Runs a batch that belongs to no open transaction.
 
         Args:
@@ -159,12 +159,14 @@
         on_part: Callable[[bytes], object],
     ) -> "decisions.Future[_messages.ExecuteReply]":
         """Sends a request to one node; a lost stream becomes a reply."""
-        self._sent[req.cancel_key] = node
+        self._node_by_cancel_key[req.cancel_key] = node
         if node.name == self._ctx.cfg.node:
             fut = self._ctx.execute(req, on_part)
         else:
             fut = decisions.start(self._send(node, req, on_part))
-        fut.add_done_callback(lambda _: self._sent.pop(req.cancel_key, None))
+        fut.add_done_callback(
+            lambda _: self._node_by_cancel_key.pop(req.cancel_key, None)
+        )
         return fut
 
     def find_floor(
@@ -218,19 +220,20 @@
         at the former primary's serving node is given up after a short while:
         a node that can be reached answers in that time by itself.
         """
-        for held in list(self._held[database]):
-            decisions.resolve(held, None)
-        late = list(self._under_way[database])
+        for paused in list(self._paused[database]):
+            decisions.resolve(paused, None)
+        outstanding = list(self._primary_requests[database])
         lost = _peers.PeerLostError(
             "the primary was replaced", may_have_arrived=True
         )
         self._ctx.timers.after(
-            GIVE_UP_S, lambda: [decisions.reject(f, lost) for f in late]
+            REPLACED_PRIMARY_GRACE_S,
+            lambda: [decisions.reject(f, lost) for f in outstanding],
         )
 
     def cancel(self, cancel_key: int) -> None:
         """Asks the node that was last sent a batch to stop it."""
-        node = self._sent.get(cancel_key)
+        node = self._node_by_cancel_key.get(cancel_key)
         if node is None:
             return
         if node.name == self._ctx.cfg.node:
@@ -257,14 +260,14 @@
                 yield self._ctx.peers.check(node)
             decisions.forward(self._ctx.peers.call(node, req, on_part), fut)
             if req.as_primary:
-                self._under_way[req.database].add(fut)
+                self._primary_requests[req.database].add(fut)
             reply = yield fut
         except _peers.PeerLostError as exc:
             return _messages.ExecuteReply(
-                reason=_reason_of_loss(req, exc).name, detail=str(exc)
+                reason=_reason_for_lost_stream(req, exc).name, detail=str(exc)
             )
         finally:
-            self._under_way[req.database].discard(fut)
+            self._primary_requests[req.database].discard(fut)
         return typing.cast(_messages.ExecuteReply, reply)
 
     def _run(
@@ -272,7 +275,7 @@
         req: _messages.ExecuteRequest,
         since_write_s: float,
         on_part: Callable[[bytes], object],
-    ) -> "decisions.Flow[Routed]":
+    ) -> "decisions.Flow[RoutedReply]":
         timers = self._ctx.timers
         deadline = timers.now() + req.budget_s
         budget = self._budgets[req.database]
@@ -284,16 +287,18 @@
             streamed = True
             on_part(data)
 
-        tried = 0
+        rounds = 0
         reply = _messages.ExecuteReply(reason=decisions.NO_SERVING_NODE.name)
         target: _targets.Target | None = None
         while True:
-            for target in self._targets.order(req, since_write_s, tried):
-                left = deadline - timers.now()
-                if left <= 0:
+            for target in self._targets.order(req, since_write_s, rounds):
+                remaining_s = deadline - timers.now()
+                if remaining_s <= 0:
                     break
                 reply = yield self.send(
-                    target.node, _addressed(req, target, left), part
+                    target.node,
+                    _request_for_target(req, target, remaining_s),
+                    part,
                 )
                 if reply.reason not in TRY_ELSEWHERE or streamed:
                     break
@@ -301,19 +306,19 @@
             done = not reply.reason or streamed
             if done or reply.reason not in WAIT_FOR_CHANGE:
                 break
-            tried += 1
+            rounds += 1
             if not (
-                yield from self._pause(req.database, budget, tried, deadline)
+                yield from self._pause(req.database, budget, rounds, deadline)
             ):
                 break
-        self._count(req, target, reply)
+        self._count_read(req, target, reply)
         return reply, target
 
     def _pause(
         self,
         database: str,
         budget: decisions.RetryBudget,
-        tried: int,
+        rounds: int,
         deadline: float,
     ) -> "decisions.Flow[bool]":
         """Holds a batch before its next try; returns whether it may go on.
@@ -323,24 +328,24 @@
         Nothing of it was handed over, so trying again costs the endpoint
         nothing; the budget keeps the load between nodes in bounds.
         """
-        if len(self._held[database]) >= MAX_HELD:
+        if len(self._paused[database]) >= MAX_PAUSED_BATCHES:
             return False
         pause = decisions.backoff(
-            tried, FIRST_BACKOFF_S, LAST_BACKOFF_S, self._random
+            rounds, MIN_BACKOFF_S, MAX_BACKOFF_S, self._random
         )
         if not budget.take():
-            pause = LAST_BACKOFF_S
+            pause = MAX_BACKOFF_S
         if self._ctx.timers.now() + pause >= deadline:
             return False
         changed: decisions.Future[None] = decisions.sleep(
             self._ctx.timers, pause
         )
-        self._held[database].add(changed)
+        self._paused[database].add(changed)
         yield changed
-        self._held[database].discard(changed)
+        self._paused[database].discard(changed)
         return True
 
-    def _count(
+    def _count_read(
         self,
         req: _messages.ExecuteRequest,
         target: _targets.Target | None,
@@ -354,15 +359,18 @@
             self.reads_by_replicas += 1
 
 
-def _addressed(
-    req: _messages.ExecuteRequest, target: _targets.Target, left: float
+def _request_for_target(
+    req: _messages.ExecuteRequest, target: _targets.Target, remaining_s: float
 ) -> _messages.ExecuteRequest:
     return attrs.evolve(
-        req, member=target.member, as_primary=target.primary, budget_s=left
+        req,
+        member=target.member,
+        as_primary=target.primary,
+        budget_s=remaining_s,
     )
 
 
-def _reason_of_loss(
+def _reason_for_lost_stream(
     req: _messages.ExecuteRequest, exc: _peers.PeerLostError
 ) -> decisions.Reason:
     """Returns what a lost stream to a serving node means for a request."""
--- a/packages/node/src/ferry_node/_execution.py
+++ b/packages/node/src/ferry_node/_execution.py
@@ -12,10 +12,10 @@
 
 READ_ONLY_SQLSTATE = "25006"
 STALE_TERM_SQLSTATE = "57P04"
-FIRST_CHECK_S = 0.5
-LAST_CHECK_S = 5.0
-RECHECK_S = 0.05
-SWEEP_S = 0.05
+FIRST_LIVENESS_CHECK_S = 0.5
+MAX_LIVENESS_CHECK_S = 5.0
+LIVENESS_RECHECK_S = 0.05
+SWEEP_INTERVAL_S = 0.05
 
 
 @attrs.define(eq=False, slots=True)
@@ -34,22 +34,22 @@
     number: int
     customer: str
     conn: _endpoint.EndpointConn
-    seat: decisions.Slot | None
+    transaction_slot: decisions.Slot | None
     used: float
     busy: bool = False
 
 
 @attrs.define(eq=False, slots=True)
-class _Wait:
+class _PendingStatement:
     """A statement under way."""
 
     conn: _endpoint.EndpointConn
     fut: "decisions.Future[_endpoint.Answer]"
     deadline: float
-    check_at: float
+    next_check_at: float
     cancel_key: int
-    check_s: float = FIRST_CHECK_S
-    checking: bool = False
+    check_interval_s: float = FIRST_LIVENESS_CHECK_S
+    is_checking: bool = False
 
 
 class Executor:
@@ -73,64 +73,66 @@
         self._member = member
         self._queue = queue
         self._pool = pool
-        self._waits: set[_Wait] = set()
-        self._sweeper = decisions.PeriodicTimer(timers, SWEEP_S, self._sweep)
+        self._pending: set[_PendingStatement] = set()
+        self._sweeper = decisions.PeriodicTimer(
+            timers, SWEEP_INTERVAL_S, self._sweep
+        )
 
     def cancel(self, cancel_key: int) -> None:
         """Asks the endpoint to stop a batch that is under way."""
-        for wait in self._waits:
-            if wait.cancel_key == cancel_key:
-                wait.conn.cancel()
+        for pending in self._pending:
+            if pending.cancel_key == cancel_key:
+                pending.conn.cancel()
 
     def close(self) -> None:
         """Stops looking after what is under way."""
         self._sweeper.stop()
 
     def run(
-        self, work: _request_checks.Work, channel: Channel | None
+        self, state: _request_checks.RequestState, channel: Channel | None
     ) -> "decisions.Flow[tuple[_endpoint.EndpointConn, _endpoint.Answer]]":
         """Runs a batch under a slot; returns its connection and answer."""
-        slot = yield self._queue.acquire(work.contract, work.deadline)
+        slot = yield self._queue.acquire(state.contract, state.deadline)
         try:
             if channel is not None:
                 conn = channel.conn
             else:
                 conn = yield from self._pool.acquire(
-                    work.req.customer, work.deadline
+                    state.req.customer, state.deadline
                 )
-            answer = yield from self._hand_over(work, conn, channel is not None)
+            answer = yield from self._execute(state, conn, channel is not None)
             return conn, answer
         finally:
             self._queue.release(slot)
 
-    def _hand_over(
+    def _execute(
         self,
-        work: _request_checks.Work,
+        state: _request_checks.RequestState,
         conn: _endpoint.EndpointConn,
         in_transaction: bool,
     ) -> "decisions.Flow[_endpoint.Answer]":
-        left = work.deadline - self._timers.now()
-        if left <= 0:
+        remaining_s = state.deadline - self._timers.now()
+        if remaining_s <= 0:
             self._pool.release(conn, clean=not in_transaction)
             raise decisions.RequestFailedError(decisions.DEADLINE_IN_QUEUE)
         if in_transaction and conn.closed:
             raise decisions.RequestFailedError(decisions.TRANSACTION_LOST)
         asked_at = self._timers.now()
-        work.was_sent = True
+        state.was_sent = True
         self.in_flight.add(conn)
         try:
-            answer = yield from self._awaited(work, conn)
+            answer = yield from self._await_answer(state, conn)
         except (decisions.TimeoutExpiredError, _endpoint.EndpointLostError):
             conn.close(cancel=True)
             raise
         finally:
             self.in_flight.discard(conn)
         self._watch.note_answer(self._member.name, answer.position, asked_at)
-        self._check(work, conn, answer, in_transaction)
+        self._check_answer(state, conn, answer, in_transaction)
         return answer
 
-    def _awaited(
-        self, work: _request_checks.Work, conn: _endpoint.EndpointConn
+    def _await_answer(
+        self, state: _request_checks.RequestState, conn: _endpoint.EndpointConn
     ) -> "decisions.Flow[_endpoint.Answer]":
         """Waits for an answer.
 
@@ -141,19 +143,19 @@
         """
         now = self._timers.now()
         fut: decisions.Future[_endpoint.Answer] = decisions.Future()
-        wait = _Wait(
+        pending = _PendingStatement(
             conn,
             fut,
-            work.deadline,
-            now + FIRST_CHECK_S,
-            work.req.cancel_key,
+            state.deadline,
+            now + FIRST_LIVENESS_CHECK_S,
+            state.req.cancel_key,
         )
-        self._waits.add(wait)
-        decisions.forward(self._started(work, conn), fut)
+        self._pending.add(pending)
+        decisions.forward(self._start_request(state, conn), fut)
         try:
             answer = yield fut
         finally:
-            self._waits.discard(wait)
+            self._pending.discard(pending)
         return typing.cast(_endpoint.Answer, answer)
 
     def _sweep(self) -> None:
@@ -162,16 +164,18 @@
         One timer for all statements under way costs less than one for each.
         """
         now = self._timers.now()
-        for wait in list(self._waits):
-            if now >= wait.deadline:
+        for pending in list(self._pending):
+            if now >= pending.deadline:
                 decisions.reject(
-                    wait.fut, decisions.TimeoutExpiredError("deadline")
+                    pending.fut, decisions.TimeoutExpiredError("deadline")
                 )
-            elif now >= wait.check_at and not wait.checking:
-                wait.checking = True
-                decisions.start(self._check_lost(wait))
+            elif now >= pending.next_check_at and not pending.is_checking:
+                pending.is_checking = True
+                decisions.start(self._check_lost(pending))
 
-    def _check_lost(self, wait: "_Wait") -> "decisions.Flow[None]":
+    def _check_lost(
+        self, pending: "_PendingStatement"
+    ) -> "decisions.Flow[None]":
         """Ends a wait if the endpoint runs nothing for its connection.
 
         It is asked twice, so that an answer on its way can arrive.
@@ -180,64 +184,66 @@
         for _ in range(2):
             try:
                 running = yield self._watch.driver.is_running(
-                    self._member, wait.conn.process_id
+                    self._member, pending.conn.process_id
                 )
             except decisions.EndpointUnreachableError:
                 running = True
-            if running or wait.fut.done():
+            if running or pending.fut.done():
                 lost = False
                 break
-            yield decisions.sleep(self._timers, RECHECK_S)
+            yield decisions.sleep(self._timers, LIVENESS_RECHECK_S)
         if lost:
             exc = _endpoint.EndpointLostError("silent, and runs nothing")
-            decisions.reject(wait.fut, exc)
-        wait.checking = False
-        wait.check_at = self._timers.now() + wait.check_s
-        wait.check_s = min(2 * wait.check_s, LAST_CHECK_S)
+            decisions.reject(pending.fut, exc)
+        pending.is_checking = False
+        pending.next_check_at = self._timers.now() + pending.check_interval_s
+        pending.check_interval_s = min(
+            2 * pending.check_interval_s, MAX_LIVENESS_CHECK_S
+        )
 
-    def _started(
-        self, work: _request_checks.Work, conn: _endpoint.EndpointConn
+    def _start_request(
+        self, state: _request_checks.RequestState, conn: _endpoint.EndpointConn
     ) -> "decisions.Future[_endpoint.Answer]":
-        if work.req.idempotency_key:
+        if state.req.idempotency_key:
             flow = _idempotency.run_once(
                 conn,
-                work.req.customer,
-                work.req.idempotency_key,
-                work.req.payload,
+                state.req.customer,
+                state.req.idempotency_key,
+                state.req.payload,
             )
             return decisions.start(flow)
-        sink = work.sink
+        sink = state.sink
 
         def pass_on(data: bytes) -> None:
-            work.streamed = True
+            state.streamed = True
             if sink is not None:
                 sink(data)
 
         return conn.execute(
-            work.req.payload, pass_on if sink is not None else None
+            state.req.payload, pass_on if sink is not None else None
         )
 
-    def _check(
+    def _check_answer(
         self,
-        work: _request_checks.Work,
+        state: _request_checks.RequestState,
         conn: _endpoint.EndpointConn,
         answer: _endpoint.Answer,
         in_transaction: bool,
     ) -> None:
         """Refuses an answer that shows less than was asked for."""
         if answer.sqlstate == STALE_TERM_SQLSTATE:
-            work.was_sent = False
+            state.was_sent = False
             conn.close()
             raise decisions.RequestFailedError(decisions.TERM_CHANGED)
-        if work.req.as_primary or in_transaction or answer.streamed:
+        if state.req.as_primary or in_transaction or answer.streamed:
             return
-        refused = answer.sqlstate == READ_ONLY_SQLSTATE
-        floor = _request_checks.required_floor(work.req)
-        shown = answer.position or decisions.ZERO_POSITION
-        if refused or not decisions.satisfies(
-            shown, floor, self._watch.tracker.history
+        is_rejected_write = answer.sqlstate == READ_ONLY_SQLSTATE
+        floor = _request_checks.required_floor(state.req)
+        position = answer.position or decisions.ZERO_POSITION
+        if is_rejected_write or not decisions.satisfies(
+            position, floor, self._watch.tracker.history
         ):
             self._pool.release(conn, clean=answer.status == "I")
             raise decisions.RequestFailedError(
-                decisions.BEHIND, "write" if refused else "floor"
+                decisions.BEHIND, "write" if is_rejected_write else "floor"
             )
--- a/packages/node/src/ferry_node/_idempotency.py
+++ b/packages/node/src/ferry_node/_idempotency.py
@@ -14,10 +14,10 @@
 from ferry_node import _wire
 
 TABLE = "rosemaryferry_keys"
-MAX_KEPT_BYTES = 65_536
+MAX_STORED_BYTES = 65_536
 UNIQUE_VIOLATION = "23505"
-_KEY = re.compile(r"[A-Za-z0-9._:-]{1,128}")
-_CREATE = (
+_KEY_PATTERN = re.compile(r"[A-Za-z0-9._:-]{1,128}")
+_CREATE_TABLE = (
     f"CREATE TABLE IF NOT EXISTS {TABLE} ("
     "customer text, key text, request text, answer text, "
     "PRIMARY KEY (customer, key))"
@@ -33,62 +33,63 @@
         RequestFailedError: The key is malformed or belongs to another request.
         EndpointLostError: The connection ended; the outcome is unknown.
     """
-    if not _KEY.fullmatch(key):
+    if not _KEY_PATTERN.fullmatch(key):
         raise decisions.RequestFailedError(
-            decisions.INVALID_SETTING, f"idempotency_key: {_KEY.pattern}"
+            decisions.INVALID_SETTING,
+            f"idempotency_key: {_KEY_PATTERN.pattern}",
         )
     digest = decisions.content_digest(payload)
-    yield _query(conn, _CREATE)
+    yield _query(conn, _CREATE_TABLE)
     yield _query(conn, "BEGIN")
-    claimed = yield _query(
+    inserted = yield _query(
         conn,
         f"INSERT INTO {TABLE} (customer, key, request, answer) "
         f"VALUES ('{customer}', '{key}', '{digest}', '')",
     )
-    if claimed.sqlstate:
+    if inserted.sqlstate:
         yield _query(conn, "ROLLBACK")
-        if claimed.sqlstate != UNIQUE_VIOLATION:
-            return typing.cast(_endpoint.Answer, claimed)
+        if inserted.sqlstate != UNIQUE_VIOLATION:
+            return typing.cast(_endpoint.Answer, inserted)
         return (yield from _first_answer(conn, customer, key, digest))
     answer: _endpoint.Answer = yield conn.execute(payload)
     if answer.sqlstate:
         yield _query(conn, "ROLLBACK")
-        return _ended(answer, conn)
-    kept = answer.data[:MAX_KEPT_BYTES].hex()
+        return _with_ready(answer, conn)
+    stored = answer.data[:MAX_STORED_BYTES].hex()
     yield _query(
         conn,
-        f"UPDATE {TABLE} SET answer = '{kept}' "
+        f"UPDATE {TABLE} SET answer = '{stored}' "
         f"WHERE customer = '{customer}' AND key = '{key}'",
     )
     committed = yield _query(conn, "COMMIT")
     if committed.sqlstate:
         return typing.cast(_endpoint.Answer, committed)
-    return _ended(answer, conn)
+    return _with_ready(answer, conn)
 
 
 def _first_answer(
     conn: _endpoint.EndpointConn, customer: str, key: str, digest: str
 ) -> "decisions.Flow[_endpoint.Answer]":
-    found = yield _query(
+    result = yield _query(
         conn,
         f"SELECT request, answer FROM {TABLE} "
         f"WHERE customer = '{customer}' AND key = '{key}'",
     )
-    rows = [f for f in found.frames if f.kind == _wire.ROW]
+    rows = [f for f in result.frames if f.kind == _wire.ROW]
     if not rows:
         raise decisions.RequestFailedError(decisions.ANSWER_LOST)
-    request, kept = _wire.data_row(rows[0])
+    request, stored = _wire.data_row(rows[0])
     if (request or b"").decode() != digest:
         raise decisions.RequestFailedError(
             decisions.DUPLICATE_KEY, "the key belongs to another request"
         )
-    frames = _wire.FrameSplitter().feed(bytes.fromhex((kept or b"").decode()))
-    found.frames.clear()
-    found.frames.extend(frames)
-    return _ended(found, conn)
+    frames = _wire.FrameSplitter().feed(bytes.fromhex((stored or b"").decode()))
+    result.frames.clear()
+    result.frames.extend(frames)
+    return _with_ready(result, conn)
 
 
-def _ended(
+def _with_ready(
     answer: _endpoint.Answer, conn: _endpoint.EndpointConn
 ) -> _endpoint.Answer:
     """Returns an answer as it looks after the transaction."""
--- a/packages/node/src/ferry_node/_login.py
+++ b/packages/node/src/ferry_node/_login.py
@@ -20,7 +20,7 @@
     "standard_conforming_strings": "on",
 }
 
-Granted = tuple[_auth.Identity, decisions.SessionState]
+GrantedLogin = tuple[_auth.Identity, decisions.SessionState]
 
 
 class LoginDialog:
@@ -51,8 +51,8 @@
         self._contracts = contracts
         self._secret = secret
         self._exchange: _auth.LoginExchange | None = None
-        self._pending: Granted | None = None
-        self.granted: Granted | None = None
+        self._pending: GrantedLogin | None = None
+        self.granted: GrantedLogin | None = None
 
     def begin(self, params: dict[str, str], is_tls: bool) -> bytes:
         """Takes the startup message in; returns the offer of a mechanism.
@@ -82,7 +82,7 @@
         self._exchange = _auth.LoginExchange(login, self._secret)
         return _wire.encode_sasl(_auth.MECHANISM)
 
-    def take(self, msg: _wire.Message) -> bytes:
+    def handle(self, msg: _wire.Message) -> bytes:
         """Takes a message of the exchange in; returns the answer.
 
         Raises:
@@ -92,10 +92,10 @@
         assert self._exchange is not None
         match msg:
             case _wire.SASLInitialResponse():
-                challenge = self._exchange.first(msg.data)
+                challenge = self._exchange.handle_client_first(msg.data)
                 return _wire.encode_sasl_continue(challenge)
             case _wire.SASLResponse():
-                final = self._prove(self._exchange, msg.data)
+                final = self._verify_proof(self._exchange, msg.data)
                 self.granted = self._pending
                 return _wire.encode_sasl_final(final)
             case _:
@@ -103,7 +103,7 @@
                     decisions.PROTOCOL_VIOLATION, type(msg).__name__
                 )
 
-    def _prove(self, exchange: _auth.LoginExchange, data: bytes) -> str:
+    def _verify_proof(self, exchange: _auth.LoginExchange, data: bytes) -> str:
         """Returns the server's last message for a right password.
 
         Raises:
@@ -111,7 +111,7 @@
                 outdated, it may be right.
         """
         try:
-            return exchange.final(data)
+            return exchange.handle_client_final(data)
         except decisions.RequestFailedError as exc:
             is_current = self._is_current()
             logging.info("event=login_refused is_current=%s", is_current)
--- a/packages/node/src/ferry_node/_pools.py
+++ b/packages/node/src/ferry_node/_pools.py
@@ -9,11 +9,11 @@
 from ferry_node import _settings
 from ferry_node import _wire
 
-TOO_MANY = "53300"
-RESET = _wire.encode_query("DISCARD ALL")
-VALIDATE = _wire.encode_query(";")
-VALIDATE_TIMEOUT_S = 0.25
-SWEEP_S = 5.0
+TOO_MANY_CONNECTIONS_SQLSTATE = "53300"
+RESET_QUERY = _wire.encode_query("DISCARD ALL")
+VALIDATION_QUERY = _wire.encode_query(";")
+VALIDATION_TIMEOUT_S = 0.25
+SWEEP_INTERVAL_S = 5.0
 
 Connect = Callable[[int, str], _endpoint.EndpointConn]
 """Begins a connection under a term and an ownership."""
@@ -36,7 +36,7 @@
     ) -> None:
         self._owner = owner
         self._timers = timers
-        self._make = connect
+        self._connect_to_member = connect
         self._cfg = cfg
         self._limit = limit
         self._term = 0
@@ -45,7 +45,9 @@
         self._waiters: collections.deque[decisions.Future[None]] = (
             collections.deque()
         )
-        self._sweeper = decisions.PeriodicTimer(timers, SWEEP_S, self._sweep)
+        self._sweeper = decisions.PeriodicTimer(
+            timers, SWEEP_INTERVAL_S, self._close_idle
+        )
 
     @property
     def open_count(self) -> int:
@@ -79,7 +81,7 @@
             if conn is None:
                 yield self._wait(deadline)
                 continue
-            if (yield from self._made_clean(conn, customer)):
+            if (yield from self._prepare(conn, customer)):
                 return conn
             conn.close()
 
@@ -92,8 +94,8 @@
         """
         if conn.closed:
             return
-        over = len(self._open) > self._limit
-        if not clean or over or conn.term != self._term:
+        is_over_limit = len(self._open) > self._limit
+        if not clean or is_over_limit or conn.term != self._term:
             conn.close()
             return
         self._idle.append(conn)
@@ -112,19 +114,19 @@
                 return self._idle.pop(index)
         return self._idle.pop() if self._idle else None
 
-    def _made_clean(
+    def _prepare(
         self, conn: _endpoint.EndpointConn, customer: str
     ) -> "decisions.Flow[bool]":
         """Resets or validates a connection; returns whether it is usable."""
         if conn.customer != customer:
-            request = RESET
+            request = RESET_QUERY
         elif self._timers.now() - conn.idle_since > self._cfg.validate_after_s:
-            request = VALIDATE
+            request = VALIDATION_QUERY
         else:
             return True
         try:
             answer = yield decisions.with_timeout(
-                self._timers, VALIDATE_TIMEOUT_S, conn.execute(request)
+                self._timers, VALIDATION_TIMEOUT_S, conn.execute(request)
             )
         except (decisions.TimeoutExpiredError, _endpoint.EndpointLostError):
             return False
@@ -134,14 +136,14 @@
     def _connect(
         self, customer: str
     ) -> "decisions.Flow[_endpoint.EndpointConn]":
-        conn = self._make(self._term, self._owner)
+        conn = self._connect_to_member(self._term, self._owner)
         self._open.add(conn)
-        conn.on_closed = self._forget
+        conn.on_closed = self._on_conn_closed
         conn.customer = customer
         yield conn.ready
         return conn
 
-    def _forget(self, conn: _endpoint.EndpointConn) -> None:
+    def _on_conn_closed(self, conn: _endpoint.EndpointConn) -> None:
         self._open.discard(conn)
         if conn in self._idle:
             self._idle.remove(conn)
@@ -163,7 +165,7 @@
             if decisions.resolve(fut, None):
                 return
 
-    def _sweep(self) -> None:
+    def _close_idle(self) -> None:
         limit = self._timers.now() - self._cfg.idle_keep_s
         for conn in list(self._idle):
             if conn.idle_since < limit:
--- a/packages/node/src/ferry_node/_request_checks.py
+++ b/packages/node/src/ferry_node/_request_checks.py
@@ -9,12 +9,12 @@
 from ferry_node import _messages
 from ferry_node import _settings
 
-POLL_S = 0.003
-FAR_BEHIND_S = 0.5
+POLL_INTERVAL_S = 0.003
+CATCH_UP_MARGIN_S = 0.5
 
 
 @attrs.define(slots=True)
-class Work:
+class RequestState:
     """A request on its way through the steps."""
 
     req: _messages.ExecuteRequest
@@ -47,7 +47,9 @@
         record = self._watch.record
         return record is not None and record.primary == self._member.name
 
-    def wait_until_eligible(self, work: Work) -> "decisions.Flow[None]":
+    def wait_until_eligible(
+        self, state: RequestState
+    ) -> "decisions.Flow[None]":
         """Waits a little for a replica to show what the read needs.
 
         What is known of the replica may be as old as the last probe, so it
@@ -58,28 +60,36 @@
             RequestFailedError: It does not show it in time.
             EndpointUnreachableError: It cannot be asked.
         """
-        floor = required_floor(work.req)
+        floor = required_floor(state.req)
         tracker = self._watch.tracker
         name = self._member.name
-        end = min(work.deadline, self._timers.now() + self._cfg.catch_up_s)
+        end = min(state.deadline, self._timers.now() + self._cfg.catch_up_s)
         asked = False
         while True:
-            eligibility = tracker.eligibility(name, floor, work.req.staleness_s)
+            eligibility = tracker.eligibility(
+                name, floor, state.req.staleness_s
+            )
             if eligibility is decisions.Eligibility.ELIGIBLE:
                 return
-            far = tracker.age(name) > self._cfg.catch_up_s + FAR_BEHIND_S
-            hopeless = eligibility is decisions.Eligibility.TOO_OLD or far
-            if asked and (hopeless or self._timers.now() >= end):
+            is_far_behind = (
+                tracker.age(name) > self._cfg.catch_up_s + CATCH_UP_MARGIN_S
+            )
+            cannot_catch_up = (
+                eligibility is decisions.Eligibility.TOO_OLD or is_far_behind
+            )
+            if asked and (cannot_catch_up or self._timers.now() >= end):
                 raise decisions.RequestFailedError(
                     decisions.BEHIND, eligibility.value
                 )
             if asked:
-                yield decisions.sleep(self._timers, POLL_S)
+                yield decisions.sleep(self._timers, POLL_INTERVAL_S)
             status = yield self._watch.driver.status(self._member)
             tracker.note_applied(name, status.applied)
             asked = True
 
-    def wait_until_responsive(self, work: Work) -> "decisions.Flow[None]":
+    def wait_until_responsive(
+        self, state: RequestState
+    ) -> "decisions.Flow[None]":
         """Holds work back from a member that should not be given any.
 
         Raises:
@@ -87,36 +97,36 @@
                 or the deadline came; nothing was handed over.
         """
         while True:
-            if work.req.as_primary:
-                self._check_leads(work)
-                ready = self._is_proved()
+            if state.req.as_primary:
+                self._check_is_primary(state)
+                is_ready = self._is_recently_confirmed()
             else:
-                ready = True
-            if ready and self._watch.silence(self._member.name) <= (
+                is_ready = True
+            if is_ready and self._watch.silence(self._member.name) <= (
                 self._cfg.hold_s
             ):
                 return
-            if not work.req.as_primary:
+            if not state.req.as_primary:
                 raise decisions.RequestFailedError(
                     decisions.BEHIND, "replica is silent"
                 )
-            if self._timers.now() >= work.deadline:
+            if self._timers.now() >= state.deadline:
                 raise decisions.RequestFailedError(decisions.NO_PRIMARY)
-            yield decisions.sleep(self._timers, POLL_S)
+            yield decisions.sleep(self._timers, POLL_INTERVAL_S)
 
-    def _check_leads(self, work: Work) -> None:
+    def _check_is_primary(self, state: RequestState) -> None:
         """Refuses work for a primary that is known to be replaced."""
         record = self._watch.record
         if record is not None and not record.primary:
             raise decisions.RequestFailedError(decisions.NO_PRIMARY)
         if record is None or not self.leads:
             raise decisions.RequestFailedError(decisions.TERM_CHANGED)
-        if required_floor(work.req).term > record.term:
+        if required_floor(state.req).term > record.term:
             raise decisions.RequestFailedError(
                 decisions.NO_PRIMARY, "the session has seen a later term"
             )
 
-    def _is_proved(self) -> bool:
+    def _is_recently_confirmed(self) -> bool:
         """Whether a majority knew the primary a short while ago.
 
         A primary that is cut off would run a statement that nobody can
@@ -128,30 +138,30 @@
         return self._timers.now() - confirmations.proved_at <= self._cfg.hold_s
 
     def confirm(
-        self, work: Work, answer: _endpoint.Answer
+        self, state: RequestState, answer: _endpoint.Answer
     ) -> "decisions.Flow[None]":
         """Waits until a majority holds what the primary's answer shows."""
-        if not work.req.as_primary or answer.position is None:
+        if not state.req.as_primary or answer.position is None:
             return
         confirmations = self._watch.confirmations
         record = self._watch.record
         if confirmations is None or record is None:
             raise decisions.RequestFailedError(decisions.ANSWER_LOST)
         if answer.position.term != record.term or not decisions.satisfies(
-            answer.position, required_floor(work.req), record.history
+            answer.position, required_floor(state.req), record.history
         ):
             raise decisions.RequestFailedError(decisions.ANSWER_LOST)
-        led_at = work.asked_at
-        if work.req.read and work.req.floor:
-            led_at -= work.req.staleness_s
+        led_since = state.asked_at
+        if state.req.read and state.req.floor:
+            led_since -= state.req.staleness_s
         wait_s = min(
-            work.contract.commit_wait_s, work.deadline - self._timers.now()
+            state.contract.commit_wait_s, state.deadline - self._timers.now()
         )
         try:
             yield decisions.with_timeout(
                 self._timers,
                 max(0.0, wait_s),
-                confirmations.confirm(answer.position.index, led_at),
+                confirmations.confirm(answer.position.index, led_since),
             )
         except decisions.TimeoutExpiredError as exc:
             raise decisions.RequestFailedError(
--- a/packages/node/src/ferry_node/_serving.py
+++ b/packages/node/src/ferry_node/_serving.py
@@ -44,13 +44,13 @@
         self.request_checks = _request_checks.RequestChecks(
             timers, watch, member, cfg.policy
         )
-        self._numbers = channel_numbers
+        self._channel_numbers = channel_numbers
         database = watch.database
         order = decisions.ADMISSION_POLICIES.get(cfg.policy.admission)
         self.queue = decisions.AdmissionQueue(
             timers, database.slots, order(), limit=_statement_limit
         )
-        self.seats = decisions.AdmissionQueue(
+        self.transaction_queue = decisions.AdmissionQueue(
             timers,
             database.transaction_connections,
             order(),
@@ -140,8 +140,8 @@
         if channel is None:
             return
         channel.conn.close(cancel=channel.busy)
-        if channel.seat is not None:
-            self.seats.release(channel.seat)
+        if channel.transaction_slot is not None:
+            self.transaction_queue.release(channel.transaction_slot)
 
     def close(self) -> None:
         """Ends everything that is under way."""
@@ -159,19 +159,21 @@
     ) -> "decisions.Flow[_messages.ExecuteReply]":
         now = self._timers.now()
         deadline = now + req.budget_s
-        work: _request_checks.Work | None = None
+        state: _request_checks.RequestState | None = None
         try:
             contract = self._contract(req)
-            work = _request_checks.Work(req, contract, deadline, sink, now)
+            state = _request_checks.RequestState(
+                req, contract, deadline, sink, now
+            )
             if req.channel:
-                return (yield from self._continue(work))
+                return (yield from self._continue(state))
             if not req.as_primary:
-                yield from self.request_checks.wait_until_eligible(work)
-            yield from self.request_checks.wait_until_responsive(work)
-            yield from self.ownership.wait_until_owned(work.deadline)
+                yield from self.request_checks.wait_until_eligible(state)
+            yield from self.request_checks.wait_until_responsive(state)
+            yield from self.ownership.wait_until_owned(state.deadline)
             if req.begin:
-                return (yield from self._begin(work))
-            return (yield from self._run_alone(work))
+                return (yield from self._begin(state))
+            return (yield from self._run_alone(state))
         except decisions.RequestFailedError as exc:
             return _failure(exc.reason, exc.detail)
         except (
@@ -181,21 +183,21 @@
             decisions.TermReplacedError,
             decisions.TimeoutExpiredError,
         ) as exc:
-            return _failure(self._reason(work, exc), repr(exc))
+            return _failure(self._reason(state, exc), repr(exc))
         except Exception as exc:  # noqa: BLE001 - a defect; the caller is told
             logging.exception("event=defect_in_serving")
             return _failure(decisions.ANSWER_LOST, type(exc).__name__)
 
     def _reason(
-        self, work: _request_checks.Work | None, exc: Exception
+        self, state: _request_checks.RequestState | None, exc: Exception
     ) -> decisions.Reason:
         """Returns what a caller may conclude from a failure below."""
-        if work is not None and work.was_sent:
-            in_transaction = work.req.begin or bool(work.req.channel)
-            if in_transaction and not work.req.may_end:
+        if state is not None and state.was_sent:
+            in_transaction = state.req.begin or bool(state.req.channel)
+            if in_transaction and not state.req.may_end:
                 return decisions.TRANSACTION_LOST
-            repeatable = work.req.read and not work.req.as_primary
-            if repeatable and not work.streamed:
+            repeatable = state.req.read and not state.req.as_primary
+            if repeatable and not state.streamed:
                 return decisions.READ_CUT
             return decisions.ANSWER_LOST
         login = isinstance(exc, _endpoint.EndpointLoginError)
@@ -218,49 +220,51 @@
         return contract
 
     def _run_alone(
-        self, work: _request_checks.Work
+        self, state: _request_checks.RequestState
     ) -> "decisions.Flow[_messages.ExecuteReply]":
         """Runs a batch outside a transaction."""
-        conn, answer = yield from self._executor.run(work, None)
+        conn, answer = yield from self._executor.run(state, None)
         if answer.status != "I":
-            channel = self._open_channel(work, conn, None)
+            channel = self._open_channel(state, conn, None)
             return _reply(answer, channel.number)
         self.pool.release(conn, clean=True)
-        yield from self._acknowledge(work, answer)
+        yield from self._acknowledge(state, answer)
         return _reply(answer, 0)
 
     def _begin(
-        self, work: _request_checks.Work
+        self, state: _request_checks.RequestState
     ) -> "decisions.Flow[_messages.ExecuteReply]":
         """Runs a batch that opens a transaction."""
-        seat = None
+        transaction_slot = None
         if self.leads:
-            seat = yield self.seats.acquire(work.contract, work.deadline)
+            transaction_slot = yield self.transaction_queue.acquire(
+                state.contract, state.deadline
+            )
         try:
-            conn, answer = yield from self._executor.run(work, None)
+            conn, answer = yield from self._executor.run(state, None)
         except BaseException:
-            if seat is not None:
-                self.seats.release(seat)
+            if transaction_slot is not None:
+                self.transaction_queue.release(transaction_slot)
             raise
         if answer.status == "I":
-            if seat is not None:
-                self.seats.release(seat)
+            if transaction_slot is not None:
+                self.transaction_queue.release(transaction_slot)
             self.pool.release(conn, clean=True)
-            yield from self._acknowledge(work, answer)
+            yield from self._acknowledge(state, answer)
             return _reply(answer, 0)
-        channel = self._open_channel(work, conn, seat)
+        channel = self._open_channel(state, conn, transaction_slot)
         return _reply(answer, channel.number)
 
     def _continue(
-        self, work: _request_checks.Work
+        self, state: _request_checks.RequestState
     ) -> "decisions.Flow[_messages.ExecuteReply]":
         """Runs a batch of an open transaction."""
-        channel = self.channels.get(work.req.channel)
-        if channel is None or channel.customer != work.req.customer:
+        channel = self.channels.get(state.req.channel)
+        if channel is None or channel.customer != state.req.customer:
             raise decisions.RequestFailedError(decisions.TRANSACTION_LOST)
         channel.busy = True
         try:
-            _, answer = yield from self._executor.run(work, channel)
+            _, answer = yield from self._executor.run(state, channel)
         except BaseException:
             self.drop(channel.number)
             raise
@@ -269,31 +273,31 @@
         if answer.status != "I":
             return _reply(answer, channel.number)
         self.channels.pop(channel.number, None)
-        if channel.seat is not None:
-            self.seats.release(channel.seat)
+        if channel.transaction_slot is not None:
+            self.transaction_queue.release(channel.transaction_slot)
         self.pool.release(channel.conn, clean=True)
-        yield from self._acknowledge(work, answer)
+        yield from self._acknowledge(state, answer)
         return _reply(answer, 0)
 
     def _acknowledge(
-        self, work: _request_checks.Work, answer: _endpoint.Answer
+        self, state: _request_checks.RequestState, answer: _endpoint.Answer
     ) -> "decisions.Flow[None]":
         """Confirms an answer and remembers the session's write."""
-        yield from self.request_checks.confirm(work, answer)
-        if not work.req.read and answer.position is not None:
-            self.ownership.floors.note(work.req.session, answer.position)
+        yield from self.request_checks.confirm(state, answer)
+        if not state.req.read and answer.position is not None:
+            self.ownership.floors.note(state.req.session, answer.position)
 
     def _open_channel(
         self,
-        work: _request_checks.Work,
+        state: _request_checks.RequestState,
         conn: _endpoint.EndpointConn,
-        seat: decisions.Slot | None,
+        transaction_slot: decisions.Slot | None,
     ) -> _execution.Channel:
         channel = _execution.Channel(
-            next(self._numbers),
-            work.req.customer,
+            next(self._channel_numbers),
+            state.req.customer,
             conn,
-            seat,
+            transaction_slot,
             self._timers.now(),
         )
         self.channels[channel.number] = channel
--- a/packages/node/src/ferry_node/tests/test_inputs.py
+++ b/packages/node/src/ferry_node/tests/test_inputs.py
@@ -76,7 +76,7 @@
             for chunk in chunks:
                 for msg in decoder.feed(chunk):
                     if ready:
-                        reader.take(msg)
+                        reader.add(msg)
         except (_wire.MalformedMessageError, decisions.RequestFailedError):
             continue
 
@@ -194,18 +194,18 @@
 
 def batch_of(*messages):
     reader = _batches.BatchReader()
-    found = [reader.take(m) for m in messages]
+    found = [reader.add(m) for m in messages]
     return found[-1]
 
 
 def test_named_statement_is_sent_again_and_hidden():
     reader = _batches.BatchReader()
     parse = _wire.Parse(statement="s1", query="SELECT 1", param_types=[])
-    first = [reader.take(parse), reader.take(_wire.Sync())][-1]
+    first = [reader.add(parse), reader.add(_wire.Sync())][-1]
     assert first is not None and first.hidden == frozenset()
     bind = _wire.Bind(portal="", statement="s1")
     execute = _wire.Execute(portal="", max_rows=0)
-    taken = [reader.take(m) for m in (bind, execute, _wire.Sync())]
+    taken = [reader.add(m) for m in (bind, execute, _wire.Sync())]
     second = taken[-1]
     assert second is not None
     assert second.hidden == frozenset({0})
--- a/packages/node/src/ferry_node/tests/test_login.py
+++ b/packages/node/src/ferry_node/tests/test_login.py
@@ -36,10 +36,10 @@
     dialog.begin(params, is_tls=True)
     client = scramp.ScramClient([_auth.MECHANISM], login, password)
     first = client.get_client_first().encode()
-    challenge = dialog.take(_wire.SASLInitialResponse(_auth.MECHANISM, first))
+    challenge = dialog.handle(_wire.SASLInitialResponse(_auth.MECHANISM, first))
     client.set_server_first(_text(challenge))
     final = client.get_client_final().encode()
-    dialog.take(_wire.SASLResponse(final))
+    dialog.handle(_wire.SASLResponse(final))
     return dialog
 
 
