--- a/packages/node/src/ferry_node/_answers.py
+++ b/packages/node/src/ferry_node/_answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers: what is passed on, taken out, or made here."""
+"""Answers to callers: relayed, filtered, or produced by this node."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 class PartBuffer:
-    """Parts of a long answer, held back while the answer may be dropped."""
+    """Buffers the parts of a long answer while it may still be discarded."""
 
     __slots__ = ("_send", "_buffered")
 
@@ -18,29 +18,29 @@
         self._buffered: list[bytes] | None = None
 
     def hold(self) -> None:
-        """Holds parts back from now on."""
+        """Starts to buffer parts instead of sending them."""
         self._buffered = []
 
     def add(self, data: bytes) -> None:
-        """Passes a part on, or holds it back."""
+        """Sends a part, or buffers it."""
         if self._buffered is None:
             self._send(data)
         else:
             self._buffered.append(data)
 
     def drop(self) -> None:
-        """Forgets what is held back."""
+        """Discards the buffered parts."""
         self._buffered = []
 
     def release(self) -> None:
-        """Passes on what is held back."""
+        """Sends the buffered parts and stops buffering."""
         buffered, self._buffered = self._buffered, None
         for data in buffered or ():
             self._send(data)
 
 
 class AnswerFilter:
-    """Takes out of an answer what the caller did not ask for."""
+    """Removes ParseComplete frames that the caller did not ask for."""
 
     __slots__ = ("_hidden", "_parse_count", "_splitter")
 
@@ -50,7 +50,7 @@
         self._splitter = _wire.FrameSplitter()
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the part of `data` that goes to the caller."""
+        """Returns the frames in `data` that are meant for the caller."""
         if not self._hidden:
             return data
         kept = []
@@ -64,11 +64,11 @@
 
 
 def local_answer(batch: _batches.Batch, values: list[str]) -> bytes:
-    """Returns the answer to a batch that this node answers itself.
+    """Returns the answer to a batch that needs no endpoint.
 
     Args:
         batch: The batch; its statements are SET or SHOW.
-        values: For each statement, the value that it shows or has set.
+        values: For each statement, the value that it shows or sets.
     """
     executed = [
         _command_result(statement, value)
@@ -80,7 +80,7 @@
 
 
 def rollback_answer(batch: _batches.Batch) -> bytes:
-    """Returns the answer to the end of a transaction that was lost."""
+    """Returns the answer to a batch that ends a lost transaction."""
     executed = _wire.encode_command_complete("ROLLBACK")
     return _assemble(batch, [b""], [executed])
 
@@ -88,7 +88,13 @@
 def _assemble(
     batch: _batches.Batch, described: list[bytes], executed: list[bytes]
 ) -> bytes:
-    """Returns one answer for each message of a batch."""
+    """Joins the answers to the messages of a batch.
+
+    Args:
+        batch: The batch.
+        described: For each statement, its RowDescription; empty without rows.
+        executed: For each statement, the answer to its execution.
+    """
     if batch.simple:
         return described[0] + executed[0]
     parts = []
--- a/packages/node/src/ferry_node/_auth.py
+++ b/packages/node/src/ferry_node/_auth.py
@@ -1,8 +1,8 @@
-"""Who a caller is: SCRAM-SHA-256 against the logins of the contracts.
+"""Authenticates callers by SCRAM-SHA-256 with the logins of the contracts.
 
-A user name has the form `login@customer`. The customer's contract holds the
-login and names the databases; an unknown login goes through the same exchange
-as a wrong password.
+A user name has the form `login@customer`. The customer's contract holds its
+logins and names its databases. An unknown login goes through the same exchange
+as a wrong password, so that the two cannot be told apart.
 """
 
 import base64
@@ -19,12 +19,12 @@
 
 @attrs.frozen(slots=True)
 class Identity:
-    """A caller that has been let in.
+    """The identity of an authenticated caller.
 
     Attributes:
-        customer: The customer in whose name it acts.
-        login: Its login.
-        database: The database that it chose.
+        customer: The customer that the login belongs to.
+        login: The name of the login.
+        database: The database that the caller chose.
     """
 
     customer: str
@@ -33,7 +33,10 @@
 
 
 def make_login(name: str, password: str, salt: bytes) -> decisions.Login:
-    """Returns a login that holds no password, only what checks it."""
+    """Returns a login with the keys that verify a password.
+
+    The login does not hold the password itself.
+    """
     salted = hashlib.pbkdf2_hmac("sha256", password.encode(), salt, ITERATIONS)
     client_key = hmac.digest(salted, b"Client Key", "sha256")
     stored_key = hashlib.sha256(client_key).digest()
@@ -52,7 +55,7 @@
 
 
 def split_user(user: str) -> tuple[str, str]:
-    """Returns the login and the customer of a user name."""
+    """Splits a user name into its login and its customer."""
     login, _, customer = user.rpartition("@")
     return login, customer
 
@@ -65,8 +68,8 @@
 
         Args:
             login: The login, or None for one that does not exist.
-            secret: This process's secret, from which a login that does not
-                exist gets keys that nobody knows.
+            secret: A secret of this process, from which the keys of a login
+                that does not exist are derived.
         """
         checked_login = login or _unknown_login(secret)
         info = (
@@ -86,8 +89,9 @@
         """
         try:
             text = client_first.decode()
-            # PostgreSQL's clients leave the name empty, which the library
-            # refuses; the exchange is signed with what they sent.
+            # PostgreSQL clients leave the user name empty, which the library
+            # rejects. The signature covers the message as the client sent it,
+            # so the original is restored after parsing.
             self._server.set_client_first(text.replace("n=,", "n=*,", 1))
             self._server.client_first_bare = text.split(",", 2)[2]
             return str(self._server.get_server_first())
@@ -95,7 +99,7 @@
             raise _login_refused() from exc
 
     def handle_client_final(self, client_final: bytes) -> str:
-        """Returns the server's last message for a right password.
+        """Returns the server's last message for a correct password.
 
         Raises:
             RequestFailedError: The password is wrong.
--- a/packages/node/src/ferry_node/_batches.py
+++ b/packages/node/src/ferry_node/_batches.py
@@ -1,9 +1,9 @@
-"""What a caller sends, cut into batches that are run as one.
+"""Groups a caller's messages into batches that are run as a unit.
 
-A batch is a simple Query, or all extended-protocol messages up to a Sync.
-Endpoint connections are shared, so prepared statements live here: a named
-statement is sent again, as the unnamed one, with each batch that uses it, and
-the answers to what was added are taken out again.
+A batch is a simple Query, or all extended-protocol messages up to a Sync or
+Flush. Endpoint connections are shared, so a caller's prepared statements are
+kept here: each batch that uses a named statement sends it again as the unnamed
+one, and the answer to the added Parse is removed from the reply.
 """
 
 import attrs
@@ -11,11 +11,12 @@
 
 from ferry_node import _wire
 
+# Named prepared statements that are kept for one caller.
 MAX_STATEMENTS = 10_000
 
 
 class UnsupportedMessageError(decisions.RequestFailedError):
-    """The caller used a part of the protocol that is not offered."""
+    """The caller used an unsupported part of the protocol."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(decisions.UNSUPPORTED, detail)
@@ -23,16 +24,18 @@
 
 @attrs.frozen(slots=True)
 class Batch:
-    """Statements that are handed to an endpoint together.
+    """Statements that are sent to an endpoint together.
 
     Attributes:
-        payload: The bytes for the endpoint; one ReadyForQuery answers them.
-        statements: What is known of each statement that is executed.
+        payload: The bytes for the endpoint, which answers them with a single
+            ReadyForQuery.
+        statements: The classification of each executed statement.
         simple: Whether it is a simple Query.
         hidden: Ordinals, from 0, of the ParseComplete frames in the answer
-            that the caller did not ask for.
-        messages: The caller's messages, for those answered by this node.
-        flushed: Whether a Flush ended it: its caller gets no ReadyForQuery.
+            that belong to an added Parse and are hidden from the caller.
+        messages: The caller's messages, for batches that this node answers.
+        flushed: Whether it ended with a Flush; its caller then gets no
+            ReadyForQuery.
     """
 
     payload: bytes
@@ -44,19 +47,19 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether it is a Sync and no more."""
+        """Whether it consists of a Sync only."""
         return not self.simple and len(self.messages) == 1
 
     @property
     def is_read(self) -> bool:
-        """Whether all of it is believed to read only."""
+        """Whether all its statements are classified as reads."""
         return all(
             s.kind is decisions.StatementKind.READ for s in self.statements
         )
 
     @property
     def is_local(self) -> bool:
-        """Whether this node answers all of it."""
+        """Whether this node answers it without an endpoint."""
         local = (decisions.StatementKind.SET, decisions.StatementKind.SHOW)
         return bool(self.statements) and all(
             s.kind in local for s in self.statements
@@ -64,7 +67,7 @@
 
     @property
     def changes_session(self) -> bool:
-        """Whether it sets state of the endpoint connection itself."""
+        """Whether it changes session state of the endpoint connection."""
         return any(
             s.kind is decisions.StatementKind.SESSION_STATE
             for s in self.statements
@@ -79,12 +82,12 @@
 
     @property
     def first_kind(self) -> decisions.StatementKind | None:
-        """The kind of the first statement; None where there is none."""
+        """The kind of the first statement; None without statements."""
         return self.statements[0].kind if self.statements else None
 
 
 class BatchReader:
-    """Cuts one caller's messages into batches."""
+    """Groups one caller's messages into batches."""
 
     __slots__ = (
         "_named",
@@ -103,7 +106,7 @@
         self._clear()
 
     def reset(self) -> None:
-        """Forgets a batch that was refused in the middle."""
+        """Discards the messages of a batch that was rejected."""
         self._clear()
 
     def _clear(self) -> None:
@@ -117,10 +120,11 @@
         self._executed: list[decisions.Statement] = []
 
     def add(self, msg: _wire.Message) -> Batch | None:
-        """Takes a message in; returns the batch that it completes, if any.
+        """Adds a message; returns the batch that it completes, if any.
 
         Raises:
-            UnsupportedMessageError: The message is not offered.
+            UnsupportedMessageError: The message is not supported, or the
+                caller keeps too many prepared statements.
         """
         if isinstance(msg, _wire.Query):
             return self._make_simple_batch(msg)
@@ -173,12 +177,12 @@
         self._sql[name] = msg.query
 
     def _select_statement(self, name: str) -> None:
-        """Makes a statement the unnamed one at the endpoint."""
+        """Adds a Parse that makes a named statement the unnamed one."""
         if self._current_name == name or not name:
             return
         known = (self._named or {}).get(name)
         if known is None:
-            return  # The endpoint answers that there is no such statement.
+            return  # The endpoint reports the unknown statement.
         self._hidden.append(self._parse_count)
         self._add_parse(known, name)
 
@@ -207,6 +211,7 @@
         if msg.kind == "S":
             if self._named is not None:
                 self._named.pop(msg.name, None)
+            # The endpoint has no such statement, which a Close permits.
             msg = _wire.Close(kind="S", name="rosemaryferry-none")
         self._parts.append(msg.to_wire())
 
--- a/packages/node/src/ferry_node/_callers.py
+++ b/packages/node/src/ferry_node/_callers.py
@@ -1,4 +1,4 @@
-"""The port that callers connect to: startup, login, and their batches."""
+"""Callers' connections: startup, login, and the batches after it."""
 
 import collections
 from collections.abc import Callable
@@ -19,23 +19,26 @@
 
 LOGIN_TIMEOUT_S = 10.0
 SECRET_BYTES = 4
+# Unsent bytes at which a caller that does not read is disconnected.
 HIGH_WATER_BYTES = 1 << 24
+# Batches that one caller may have queued behind the running one.
 MAX_PIPELINED = 1_000
 
 
 @attrs.frozen(slots=True)
 class CallerContext:
-    """What callers' connections share.
+    """Dependencies that all callers' connections share.
 
     Attributes:
-        loop: The node's loop.
+        loop: The node's event loop.
         cfg: The node's settings.
-        contracts: The contracts in force.
-        is_current: Whether these were found to be the newest.
-        sessions: What the sessions share.
+        contracts: The active contracts.
+        is_current: Returns whether these are confirmed to be the newest.
+        sessions: Dependencies that all sessions share.
         tls: The TLS context; None without TLS.
-        secret: This process's secret.
-        cancel: Called with a process id and a secret to stop a batch.
+        secret: A secret of this process, from which logins that do not exist
+            get their keys.
+        cancel: Called with a process id and a secret to cancel a batch.
     """
 
     loop: runtime.EventLoop
@@ -49,7 +52,7 @@
 
 
 class CallerConn:
-    """One caller's connection."""
+    """The connection of one caller."""
 
     __slots__ = (
         "_ctx",
@@ -96,18 +99,18 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a batch or a transaction is under way."""
+        """Whether a batch is running or a transaction is open."""
         session = self._session
         return self._busy or (session is not None and session.in_transaction)
 
     def cancel(self, secret: bytes) -> None:
-        """Asks to stop what is under way, if the secret is right."""
+        """Cancels the running batch if the secret is correct."""
         is_valid = hmac.compare_digest(secret, self.secret)
         if is_valid and self._session is not None:
             self._session.cancel()
 
     def stop(self) -> None:
-        """Closes the connection as soon as nothing is under way."""
+        """Closes the connection once it is no longer busy."""
         self.stopping = True
         if not self.busy:
             self._end_with_error(
@@ -115,7 +118,7 @@
             )
 
     def close(self) -> None:
-        """Closes the connection at once."""
+        """Closes the connection immediately."""
         self._stream.close()
         self._release()
 
--- a/packages/node/src/ferry_node/_conversation.py
+++ b/packages/node/src/ferry_node/_conversation.py
@@ -1,4 +1,4 @@
-"""A caller's session after its login: its state, transaction and answers."""
+"""A caller's session after its login: settings, transaction and answers."""
 
 from collections.abc import Callable
 import itertools
@@ -16,20 +16,22 @@
 from ferry_node import _tracing
 from ferry_node import _wire
 
+# SQLSTATE in_failed_sql_transaction.
 IN_FAILED_TRANSACTION = "25P02"
 
 
 @attrs.frozen(slots=True)
 class ConversationContext:
-    """What all sessions of a node share.
+    """Dependencies that all sessions of a node share.
 
     Attributes:
         timers: The timer service.
         dispatcher: Runs batches.
-        metrics: Called with the customer, the seconds and the outcome of each
-            batch.
-        tracer: Makes the spans.
-        cancel_keys: Numbers that name batches, unique among all nodes.
+        metrics: Called after each batch with the customer, the elapsed time
+            in seconds and the outcome.
+        tracer: Creates the spans.
+        cancel_keys: Yields numbers that identify batches for cancellation,
+            unique among all nodes.
     """
 
     timers: decisions.TimerService
@@ -41,12 +43,13 @@
 
 @attrs.define(slots=True)
 class _Transaction:
-    """The transaction that a caller has open.
+    """The open transaction of a caller.
 
     Attributes:
-        target: The member and node that hold it.
-        channel: Its number there; 0 once it was lost.
-        status: What the caller was told of it: T or E.
+        target: The member and the node that run it.
+        channel: Its number at that node; 0 after it was lost.
+        status: The transaction status last reported to the caller: T (open)
+            or E (failed).
     """
 
     target: _targets.Target
@@ -55,7 +58,7 @@
 
 
 class Conversation:
-    """Runs one caller's batches, one after another."""
+    """Runs the batches of one caller, one after another."""
 
     __slots__ = (
         "_ctx",
@@ -79,9 +82,9 @@
         """Starts the session.
 
         Args:
-            ctx: What all sessions share.
-            identity: Who the caller is.
-            state: What its startup message asked for.
+            ctx: Dependencies that all sessions share.
+            identity: The caller's customer, login and database.
+            state: The session settings from its startup message.
             send: Sends bytes to the caller.
         """
         self._ctx = ctx
@@ -104,33 +107,33 @@
         return decisions.start(self._run(batch))
 
     def cancel(self) -> None:
-        """Asks to stop the batch that is under way."""
+        """Asks the serving node to cancel the running batch."""
         if self._cancel_key:
             self._ctx.dispatcher.cancel(self._cancel_key)
 
     def _fail_batch(
         self, batch: _batches.Batch, reason: decisions.Reason, detail: str
     ) -> None:
-        """Sends an error that ends a batch."""
+        """Answers a batch with an error."""
         self._send(_wire.encode_error(reason, detail))
         self._end_batch(batch, failed=True)
 
     def _end_batch(self, batch: _batches.Batch, failed: bool) -> None:
-        """Ends a batch; after a failure, all up to the Sync is skipped."""
+        """Ends a batch; after a failure, skips all messages up to the Sync."""
         if not batch.flushed:
             self.send_ready()
         elif failed:
             self._skipping = True
 
     def send_ready(self) -> None:
-        """Sends a ReadyForQuery."""
+        """Sends a ReadyForQuery with the current transaction status."""
         transaction = self._transaction
         self._send(
             _wire.encode_ready(transaction.status if transaction else "I")
         )
 
     def close(self) -> None:
-        """Rolls back what is open: the caller is gone."""
+        """Rolls back the open transaction; the caller has disconnected."""
         transaction, self._transaction = self._transaction, None
         if transaction is not None and transaction.channel:
             self._ctx.dispatcher.drop(transaction.target, transaction.channel)
@@ -162,15 +165,16 @@
             yield from self._run_remote(batch)
 
     def _may_flush(self, batch: _batches.Batch) -> bool:
-        """Whether a batch may be run before the rest up to the Sync.
+        """Whether a batch that a Flush ended may run before the Sync.
 
-        All up to a Sync is one transaction, which a Flush must not cut.
+        All messages up to a Sync form one implicit transaction, which a Flush
+        must not split.
         """
         begins = batch.first_kind is decisions.StatementKind.BEGIN
         return batch.is_read or batch.is_local or begins or self.in_transaction
 
     def _answer_in_failed_transaction(self, batch: _batches.Batch) -> None:
-        """Answers inside a transaction that is already rolled back."""
+        """Answers a batch in a transaction that was already rolled back."""
         ends = batch.first_kind is decisions.StatementKind.END
         if ends and len(batch.statements) == 1:
             self._transaction = None
@@ -240,11 +244,11 @@
     def _floor_lookup(
         self, batch: _batches.Batch
     ) -> "decisions.Future[decisions.Position | None] | None":
-        """Begins to look the session's floor up, if it carries no token.
+        """Starts a lookup of the session's floor, if it carries no token.
 
         Other connections of the same login may have written since the last
-        read. The read itself goes on meanwhile, with the floor that is
-        known, and its position is checked when both are there.
+        read. The read runs at the same time with the floor known so far, and
+        its position is checked once both results have arrived.
         """
         reads = batch.is_read and self._transaction is None
         if not reads or self._state.carries_token:
@@ -258,7 +262,7 @@
     def _apply_floor(
         self, floor_lookup: "decisions.Future[decisions.Position | None]"
     ) -> "decisions.Flow[None]":
-        """Waits for the floor; without one, the primary has to answer."""
+        """Waits for the floor; if it is unknown, the primary has to answer."""
         found = yield floor_lookup
         database = self._identity.database
         if found is None:
@@ -267,7 +271,7 @@
             self._state = self._state.with_floor(database, found)
 
     def _reaches_floor(self, reply: _messages.ExecuteReply) -> bool:
-        """Whether an answer shows the floor that has been looked up."""
+        """Whether an answer includes all writes up to the session's floor."""
         if reply.reason:
             return True
         floor = self._state.floor(self._identity.database)
@@ -280,7 +284,7 @@
 
     @property
     def _session_key(self) -> str:
-        """What a session is known by when it carries no token."""
+        """The key that identifies a session that carries no token."""
         name = self._state.session_id or self._identity.login
         return f"{name}@{self._identity.customer}"
 
@@ -331,7 +335,7 @@
         req: _messages.ExecuteRequest,
         on_part: Callable[[bytes], object],
     ) -> "decisions.Flow[_messages.ExecuteReply]":
-        """Runs a batch where the transaction is open."""
+        """Runs a batch at the node that has the transaction open."""
         target = transaction.target
         continued = attrs.evolve(
             req,
--- a/packages/node/src/ferry_node/_drivers.py
+++ b/packages/node/src/ferry_node/_drivers.py
@@ -1,8 +1,9 @@
-"""Drivers of endpoints: how terms and positions are reached.
+"""Drivers that control endpoints: their terms, positions and roles.
 
-Real endpoints differ from the stand-in, so a fleet registers a driver of its
-own under a name for the settings. The stand-in's driver sends one control
-statement, `SELECT rosemaryferry_control('JSON')`, whose row holds JSON.
+Real endpoints differ from the stand-in, so a deployment registers its own
+driver under a name that the settings refer to. The driver of the stand-in
+sends control statements, `SELECT rosemaryferry_control('JSON')`, each of which
+returns one row with a JSON value.
 """
 
 import json
@@ -16,8 +17,10 @@
 from ferry_node import _settings
 from ferry_node import _wire
 
+# The member refused a control statement.
 ORDER_REFUSED_SQLSTATE = "55000"
 CONTROL_TIMEOUT_S = 2.0
+# Appended to the user name of control connections.
 CONTROL_USER_SUFFIX = "-control"
 CONTROL_FUNCTION = "rosemaryferry_control"
 
@@ -28,14 +31,14 @@
 
     Attributes:
         op: One of status, own, running, fence, promote, follow and wait.
-        term: The term it is about.
-        claim_id: For fence, the claim.
+        term: The term that the statement refers to.
+        claim_id: For fence, the id of the claim.
         owner: For own, the new owner.
-        process_id: For running, the connection that is asked about.
-        index: For wait, the index.
-        timeout_s: For wait, how long, in seconds.
-        primary: For promote and follow, the member that leads.
-        starts: For promote and follow, the starts of terms.
+        process_id: For running, the process id of the connection.
+        index: For wait, the index to be received.
+        timeout_s: For wait, the time limit in seconds.
+        primary: For promote and follow, the primary.
+        starts: For promote and follow, the start positions of the terms.
     """
 
     op: str
@@ -50,7 +53,7 @@
 
 
 class DriverFactory(typing.Protocol):
-    """Makes the driver of one database."""
+    """Creates the driver of one database."""
 
     def __call__(
         self,
@@ -59,7 +62,14 @@
         cfg: _settings.EndpointSettings,
         probe_timeout_s: float,
     ) -> decisions.ClosableDriver:
-        """Returns a driver."""
+        """Returns a driver.
+
+        Args:
+            loop: The event loop.
+            database: The database whose members it controls.
+            cfg: The settings of endpoint connections.
+            probe_timeout_s: The time limit of a status request, in seconds.
+        """
 
 
 DRIVERS: decisions.Registry[DriverFactory] = decisions.Registry(
@@ -68,7 +78,7 @@
 
 
 class _ControlLink:
-    """One control connection to a member, made anew after each failure."""
+    """A control connection to a member, reopened after each failure."""
 
     def __init__(
         self,
@@ -86,14 +96,19 @@
     def ask(
         self, order: ControlOrder, timeout_s: float
     ) -> "decisions.Flow[decisions.MemberStatus]":
-        """Sends one order; returns the status that the member answers."""
+        """Sends an order; returns the status in the member's answer."""
         value = yield from self.ask_raw(order, timeout_s)
         return decisions.structure(value, decisions.MemberStatus, "status")
 
     def ask_raw(
         self, order: ControlOrder, timeout_s: float
     ) -> "decisions.Flow[typing.Any]":
-        """Sends one order; returns the JSON value that the member answers."""
+        """Sends an order; returns the JSON value in the member's answer.
+
+        Raises:
+            EndpointRefusedError: The member refused the order.
+            EndpointUnreachableError: No usable answer arrived in time.
+        """
         conn = yield from self._open_connection()
         payload = encode_order(order)
         try:
@@ -138,7 +153,7 @@
 
 
 def encode_order(order: ControlOrder) -> bytes:
-    """Returns the statement of an order, without what is at its default."""
+    """Encodes an order as a statement; omits fields with default values."""
     raw = decisions.unstructure(order)
     defaults = decisions.unstructure(ControlOrder(order.op))
     raw = {n: v for n, v in raw.items() if n == "op" or v != defaults[n]}
@@ -158,7 +173,7 @@
 
 @DRIVERS.register("standin")
 class StandinDriver:
-    """The driver of the stand-in's members."""
+    """Controls the members of the stand-in."""
 
     def __init__(
         self,
@@ -179,13 +194,13 @@
     def status(
         self, member: decisions.Member
     ) -> "decisions.Future[decisions.MemberStatus]":
-        """Asks a member for its status."""
+        """Requests a member's status."""
         return self._ask(member, ControlOrder("status"), self._probe_timeout_s)
 
     def own(
         self, member: decisions.Member, owner: str
     ) -> "decisions.Future[decisions.MemberStatus]":
-        """Makes a member take statements from one owner only."""
+        """Makes a member accept statements of one owner only."""
         return self._ask(
             member, ControlOrder("own", owner=owner), CONTROL_TIMEOUT_S
         )
@@ -193,7 +208,7 @@
     def is_running(
         self, member: decisions.Member, process_id: int
     ) -> "decisions.Future[bool]":
-        """Whether the connection with that process id runs a statement."""
+        """Returns whether the connection with a process id runs a statement."""
         order = ControlOrder("running", process_id=process_id)
         link = self._links[member.name]
         return decisions.start(link.ask_raw(order, self._probe_timeout_s))
@@ -224,7 +239,7 @@
         index: int,
         timeout_s: float,
     ) -> "decisions.Future[decisions.MemberStatus]":
-        """Answers once a member has received an index."""
+        """Waits until a member has received an index."""
         order = ControlOrder(
             "wait", term=term, index=index, timeout_s=timeout_s
         )
--- a/packages/node/src/ferry_node/_endpoint.py
+++ b/packages/node/src/ferry_node/_endpoint.py
@@ -1,7 +1,8 @@
-"""One connection to an endpoint.
+"""A connection to an endpoint.
 
-At most one request is under way on it. A connection that owes an answer is
-never used again: it is closed, so that a late answer reaches nobody.
+Requests of different callers never overlap on a connection. If an answer is
+no longer awaited, its connection is closed instead of reused, so that a late
+answer cannot reach another caller.
 """
 
 import collections
@@ -13,22 +14,26 @@
 
 from ferry_node import _wire
 
+# Size of a buffered answer above which it is passed on in parts.
 STREAM_THRESHOLD_BYTES = 1 << 18
+# How long sent bytes may stay unacknowledged, in milliseconds.
 TCP_USER_TIMEOUT_MS = 1_500
+# The last frames of an answer, which carry its outcome, are never passed on
+# as a part.
 HELD_BACK_FRAMES = 2
 
 Sink = Callable[[bytes], object]
 
 
 class EndpointLostError(Exception):
-    """The connection ended while it owed an answer: the outcome is unknown."""
+    """The connection ended before the answer: the outcome is unknown."""
 
 
 class EndpointLoginError(Exception):
     """The endpoint refused the login or the connection.
 
     Attributes:
-        sqlstate: The code that it gave.
+        sqlstate: The SQLSTATE of the refusal.
     """
 
     def __init__(self, sqlstate: str, message: str) -> None:
@@ -41,11 +46,12 @@
     """The answer to one request.
 
     Attributes:
-        frames: The frames that were not streamed yet, in order.
-        streamed: Whether a part went to the sink already.
-        status: The transaction status after it: I, T or E.
-        sqlstate: The code of its error; empty without one.
-        position: The member's position after it, if it told one.
+        frames: The frames that were not yet passed to the sink, in order.
+        streamed: Whether a part was already passed to the sink.
+        status: The transaction status after it: I (idle), T (open) or E
+            (failed).
+        sqlstate: The SQLSTATE of its error; empty without one.
+        position: The member's last reported position; None without one.
     """
 
     frames: collections.deque[_wire.Frame] = attrs.field(
@@ -58,13 +64,13 @@
 
     @property
     def data(self) -> bytes:
-        """The bytes that were not streamed yet."""
+        """The bytes that were not yet passed to the sink."""
         return b"".join(f.data for f in self.frames)
 
 
 @attrs.define(slots=True)
 class _Pending:
-    """A request under way."""
+    """A request that awaits its answer."""
 
     fut: "decisions.Future[Answer]"
     sink: Sink | None
@@ -73,7 +79,16 @@
 
 
 class EndpointConn:
-    """A connection to one member, opened under one term."""
+    """A connection to one member, opened for one term.
+
+    Attributes:
+        ready: The future of this connection once its login is done.
+        closed: Whether it can no longer be used.
+        customer: The customer that used it last.
+        term: The term for which it was opened.
+        idle_since: When its last answer was complete, in seconds.
+        on_closed: Called once when it is closed.
+    """
 
     def __init__(
         self,
@@ -107,22 +122,26 @@
 
     @property
     def process_id(self) -> int:
-        """The endpoint's number of this connection."""
+        """The process id that the endpoint gave this connection."""
         return self._backend_key[0]
 
     @property
     def position(self) -> decisions.Position | None:
-        """The last position that the member told."""
+        """The last position that the member reported; None without one."""
         return self._position
 
     def execute(
         self, payload: bytes, sink: Sink | None = None
     ) -> "decisions.Future[Answer]":
-        """Hands a request over; returns the future of its answer.
+        """Sends a request; returns the future of its answer.
+
+        The future fails with `EndpointLostError` if the connection ends
+        first.
 
-        The request has exactly one ReadyForQuery to wait for. With a sink,
-        a long answer is passed on in parts, all but its last frames.
-        Fails with `EndpointLostError` when the connection ends first.
+        Args:
+            payload: Messages that exactly one ReadyForQuery answers.
+            sink: Called with the parts of a long answer, all but its last
+                frames; None to collect the whole answer.
         """
         if self.closed:
             return decisions.failed(EndpointLostError("closed before"))
@@ -135,7 +154,7 @@
         """Closes the connection.
 
         Args:
-            cancel: Whether to ask the endpoint to stop what it runs.
+            cancel: Whether to ask the endpoint to cancel a running request.
         """
         if self.closed:
             return
@@ -147,7 +166,10 @@
         self._stream.close_when_sent()
 
     def cancel(self) -> None:
-        """Asks the endpoint to stop what it runs; its answer tells."""
+        """Asks the endpoint to cancel the running request.
+
+        The answer to that request tells whether it was cancelled.
+        """
         if self._pending and not self.closed:
             self._send_cancel()
 
@@ -194,7 +216,7 @@
             self._stream_out(pending)
 
     def _stream_out(self, pending: _Pending) -> None:
-        """Passes on all frames but the last ones, which carry the outcome."""
+        """Passes all frames to the sink but the last, which hold the outcome."""
         assert pending.sink is not None
         parts = []
         frames = pending.answer.frames
--- a/packages/node/src/ferry_node/_entry.py
+++ b/packages/node/src/ferry_node/_entry.py
@@ -1,7 +1,8 @@
-"""The entry side: sends a caller's batch to the node that serves the member.
+"""Routes a caller's batch to the node that serves the chosen member.
 
-What was handed over is never repeated, unless a replica ran it. What was
-proved not to have run is tried elsewhere until the caller's deadline.
+A batch that may have reached the primary is never sent again. A read that a
+replica ran may be repeated, and a batch that provably did not run is retried
+on other members until the caller's deadline.
 """
 
 import collections
@@ -17,14 +18,20 @@
 from ferry_node import _settings
 from ferry_node import _targets
 
+# Batches per database that may wait for a retry; further ones fail at once.
 MAX_PAUSED_BATCHES = 2_000
 MIN_BACKOFF_S = 0.01
 MAX_BACKOFF_S = 0.25
+# Retry budget of a database: the retries that each first attempt earns, and
+# the most that can be saved up.
 RETRY_SHARE = 0.1
 RETRY_BURST = 20.0
 FLOOR_TIMEOUT_S = 0.05
+# After a primary was replaced, requests to its former serving node fail after
+# this time. A node that can be reached answers within it by itself.
 REPLACED_PRIMARY_GRACE_S = 0.15
 
+# Reasons after which the next member is tried at once.
 TRY_ELSEWHERE = frozenset(
     {
         decisions.BEHIND.name,
@@ -35,6 +42,8 @@
         decisions.TERM_CHANGED.name,
     }
 )
+# Reasons after which a batch is retried after a pause, or as soon as the
+# database's record changes.
 WAIT_FOR_CHANGE = frozenset(
     {
         decisions.TERM_CHANGED.name,
@@ -52,11 +61,11 @@
 
 
 RoutedReply = tuple[_messages.ExecuteReply, _targets.Target | None]
-"""A reply, and the member that gave it."""
+"""A reply, and the last target that was tried; None if there was none."""
 
 
 class PeerCalls(typing.Protocol):
-    """Reaches other nodes."""
+    """Sends messages to other nodes."""
 
     def call(
         self,
@@ -64,10 +73,10 @@
         message: _messages.Message,
         on_part: Callable[[bytes], object] | None = None,
     ) -> "decisions.Future[typing.Any]":
-        """Sends a request; fails with `PeerLostError`."""
+        """Sends a request; its future fails with `PeerLostError`."""
 
     def check(self, node: decisions.Node) -> "decisions.Future[None]":
-        """Tells whether a node shows life; fails with `PeerLostError`."""
+        """Checks that a node responds; fails with `PeerLostError` if not."""
 
     def tell(self, node: decisions.Node, message: _messages.Message) -> None:
         """Sends a one-way message."""
@@ -75,20 +84,22 @@
 
 @attrs.frozen(slots=True)
 class EntryContext:
-    """What the entry side needs from its node.
+    """Dependencies that the dispatcher gets from its node.
 
     Attributes:
         timers: The timer service.
         cfg: The node's settings.
         peers: Streams to the other nodes.
-        nodes: Returns the nodes that are live.
+        nodes: Returns the live nodes.
         database: Returns a database's description.
         record: Returns a database's record.
-        leaving: Returns the endpoints, as `host:port`, that are leaving.
+        leaving: Returns the endpoints, as `host:port`, that are about to be
+            removed.
         execute: Runs a request at this node.
         drop: Rolls back an open transaction at this node.
-        cancel: Stops a batch at this node.
-        position: Proves a primary's position at this node.
+        cancel: Cancels a batch that runs at this node.
+        position: Returns the proved position of a primary that this node
+            serves.
     """
 
     timers: decisions.TimerService
@@ -108,7 +119,7 @@
 
 
 class Dispatcher:
-    """Finds a member for each batch, and tries again where that is safe."""
+    """Chooses a member for each batch and retries where that is safe."""
 
     def __init__(self, ctx: EntryContext) -> None:
         self._ctx = ctx
@@ -145,10 +156,13 @@
         """Runs a batch that belongs to no open transaction.
 
         Args:
-            req: The request; its member is chosen here. With `read` it may
-                go to a replica.
+            req: The request without its member, which is chosen here. If
+                `read` is set, it may go to a replica.
             since_write_s: Seconds since its session last wrote.
-            on_part: Gets the parts of a long answer.
+            on_part: Called with each part of a long answer.
+
+        Returns:
+            A future of the reply and the last target that was tried.
         """
         return decisions.start(self._run(req, since_write_s, on_part))
 
@@ -172,9 +186,10 @@
     def find_floor(
         self, database: str, session: str
     ) -> "decisions.Future[decisions.Position | None]":
-        """Returns a floor that covers all writes of a session.
+        """Returns a position that covers all writes of a session.
 
-        None where the primary could not be asked within the bound.
+        The result is None if the primary could not be asked within
+        `FLOOR_TIMEOUT_S`.
         """
         return decisions.start(self._find_floor(database, session))
 
@@ -208,17 +223,17 @@
         shown: decisions.Position,
         floor: decisions.Position,
     ) -> bool:
-        """Whether a position shows all below a floor, as far as is known."""
+        """Whether a position includes a floor, by the known term history."""
         record = self._ctx.record(database)
         history = record.history if record else decisions.History()
         return decisions.satisfies(shown, floor, history)
 
     def note_record(self, database: str) -> None:
-        """Takes in that a database's record has changed.
+        """Reacts to a change of a database's record.
 
-        What was held for the change goes on at once. What is still under way
-        at the former primary's serving node is given up after a short while:
-        a node that can be reached answers in that time by itself.
+        Paused batches are retried at once. Requests to the node that served
+        the former primary fail after `REPLACED_PRIMARY_GRACE_S`: a node that
+        can be reached answers within that time by itself.
         """
         for paused in list(self._paused[database]):
             decisions.resolve(paused, None)
@@ -232,7 +247,7 @@
         )
 
     def cancel(self, cancel_key: int) -> None:
-        """Asks the node that was last sent a batch to stop it."""
+        """Asks the node that a batch was last sent to to cancel it."""
         node = self._node_by_cancel_key.get(cancel_key)
         if node is None:
             return
@@ -242,7 +257,7 @@
             self._ctx.peers.tell(node, _messages.CancelBatch(cancel_key))
 
     def drop(self, target: _targets.Target, channel: int) -> None:
-        """Rolls back a transaction whose caller is gone."""
+        """Rolls back a transaction whose caller has disconnected."""
         if target.node.name == self._ctx.cfg.node:
             self._ctx.drop(channel)
             return
@@ -321,12 +336,11 @@
         rounds: int,
         deadline: float,
     ) -> "decisions.Flow[bool]":
-        """Holds a batch before its next try; returns whether it may go on.
-
-        A new record ends the pause at once.
+        """Waits before a retry; returns whether the batch may be retried.
 
-        Nothing of it was handed over, so trying again costs the endpoint
-        nothing; the budget keeps the load between nodes in bounds.
+        A change of the database's record ends the pause at once. The batch
+        was not sent to an endpoint, so a retry adds no load there; the retry
+        budget limits the load between the nodes.
         """
         if len(self._paused[database]) >= MAX_PAUSED_BATCHES:
             return False
@@ -373,7 +387,7 @@
 def _reason_for_lost_stream(
     req: _messages.ExecuteRequest, exc: _peers.PeerLostError
 ) -> decisions.Reason:
-    """Returns what a lost stream to a serving node means for a request."""
+    """Returns the reason to report when the stream to a node was lost."""
     if not exc.may_have_arrived:
         return decisions.NO_SERVING_NODE
     if (req.begin or req.channel) and not req.may_end:
--- a/packages/node/src/ferry_node/_execution.py
+++ b/packages/node/src/ferry_node/_execution.py
@@ -1,4 +1,4 @@
-"""Handing a batch to an endpoint, under a slot and on one connection."""
+"""Runs batches at an endpoint, each with a slot and on one connection."""
 
 import typing
 
@@ -10,10 +10,15 @@
 from ferry_node import _pools
 from ferry_node import _request_checks
 
+# A replica rejected a write.
 READ_ONLY_SQLSTATE = "25006"
+# The connection belongs to a term that was replaced.
 STALE_TERM_SQLSTATE = "57P04"
+# A statement without an answer is checked first after this time, then at
+# intervals that double up to the maximum.
 FIRST_LIVENESS_CHECK_S = 0.5
 MAX_LIVENESS_CHECK_S = 5.0
+# Pause before the second check, so that an answer in transit can arrive.
 LIVENESS_RECHECK_S = 0.05
 SWEEP_INTERVAL_S = 0.05
 
@@ -24,24 +29,35 @@
 
     Attributes:
         number: Its number at this node.
-        customer: Whose it is.
-        conn: The endpoint connection that is its own.
-        seat: Its right to hold a connection at the primary, if it has one.
-        used: When it last ran a statement, in seconds.
-        busy: Whether a statement of it is under way.
+        customer: The customer that opened it.
+        conn: The endpoint connection that is reserved for it.
+        transaction_slot: Its slot in the queue for transactions; None where
+            it holds none, as at a replica.
+        last_used_at: When it last ran a statement, in seconds.
+        busy: Whether one of its statements is running.
     """
 
     number: int
     customer: str
     conn: _endpoint.EndpointConn
     transaction_slot: decisions.Slot | None
-    used: float
+    last_used_at: float
     busy: bool = False
 
 
 @attrs.define(eq=False, slots=True)
 class _PendingStatement:
-    """A statement under way."""
+    """A statement whose answer is awaited.
+
+    Attributes:
+        conn: The connection on which it runs.
+        fut: The future of its answer.
+        deadline: When it expires, in seconds of the timer service.
+        next_check_at: When the endpoint is next asked whether it still runs.
+        cancel_key: The number by which it can be cancelled.
+        check_interval_s: The time from this check to the following one.
+        is_checking: Whether a check is in progress.
+    """
 
     conn: _endpoint.EndpointConn
     fut: "decisions.Future[_endpoint.Answer]"
@@ -53,10 +69,10 @@
 
 
 class Executor:
-    """Hands batches to one member.
+    """Runs batches at one member.
 
     Attributes:
-        in_flight: Connections that owe an answer.
+        in_flight: The connections on which an answer is awaited.
     """
 
     def __init__(
@@ -79,19 +95,27 @@
         )
 
     def cancel(self, cancel_key: int) -> None:
-        """Asks the endpoint to stop a batch that is under way."""
+        """Asks the endpoint to cancel a running batch."""
         for pending in self._pending:
             if pending.cancel_key == cancel_key:
                 pending.conn.cancel()
 
     def close(self) -> None:
-        """Stops looking after what is under way."""
+        """Stops checking the running statements."""
         self._sweeper.stop()
 
     def run(
         self, state: _request_checks.RequestState, channel: Channel | None
     ) -> "decisions.Flow[tuple[_endpoint.EndpointConn, _endpoint.Answer]]":
-        """Runs a batch under a slot; returns its connection and answer."""
+        """Runs a batch once it has a slot.
+
+        Args:
+            state: The request.
+            channel: Its open transaction; None outside of one.
+
+        Returns:
+            The connection on which it ran, and the answer.
+        """
         slot = yield self._queue.acquire(state.contract, state.deadline)
         try:
             if channel is not None:
@@ -137,9 +161,9 @@
         """Waits for an answer.
 
         Raises:
-            TimeoutExpiredError: The deadline came first.
-            EndpointLostError: The connection ended, or it is silent and the
-                endpoint runs nothing on it.
+            TimeoutExpiredError: The deadline passed first.
+            EndpointLostError: The connection ended, or no answer arrives and
+                the endpoint runs no statement on it.
         """
         now = self._timers.now()
         fut: decisions.Future[_endpoint.Answer] = decisions.Future()
@@ -159,9 +183,9 @@
         return typing.cast(_endpoint.Answer, answer)
 
     def _sweep(self) -> None:
-        """Ends waits at their deadline, and finds connections that are lost.
+        """Expires statements at their deadline and starts due checks.
 
-        One timer for all statements under way costs less than one for each.
+        A single timer for all running statements costs less than one each.
         """
         now = self._timers.now()
         for pending in list(self._pending):
@@ -176,9 +200,9 @@
     def _check_lost(
         self, pending: "_PendingStatement"
     ) -> "decisions.Flow[None]":
-        """Ends a wait if the endpoint runs nothing for its connection.
+        """Fails a statement if the endpoint runs nothing on its connection.
 
-        It is asked twice, so that an answer on its way can arrive.
+        The endpoint is asked twice, so that an answer in transit can arrive.
         """
         lost = True
         for _ in range(2):
@@ -230,7 +254,7 @@
         answer: _endpoint.Answer,
         in_transaction: bool,
     ) -> None:
-        """Refuses an answer that shows less than was asked for."""
+        """Rejects an answer of a replaced term or below the request's floor."""
         if answer.sqlstate == STALE_TERM_SQLSTATE:
             state.was_sent = False
             conn.close()
--- a/packages/node/src/ferry_node/_idempotency.py
+++ b/packages/node/src/ferry_node/_idempotency.py
@@ -1,8 +1,8 @@
-"""Writes with an idempotency key: run once, answered as often as asked.
+"""Writes with an idempotency key, which run once however often they are sent.
 
-The key and the first answer are kept in the database itself, in the same
-transaction as the write. So they survive exactly what the write survives,
-through any node and across a change of primary.
+The key and the first answer are stored in the database itself, in the same
+transaction as the write. So they are as durable as the write: they are found
+through any node and after a change of primary.
 """
 
 import re
@@ -14,6 +14,7 @@
 from ferry_node import _wire
 
 TABLE = "rosemaryferry_keys"
+# Stored answers are cut to this size.
 MAX_STORED_BYTES = 65_536
 UNIQUE_VIOLATION = "23505"
 _KEY_PATTERN = re.compile(r"[A-Za-z0-9._:-]{1,128}")
@@ -27,10 +28,17 @@
 def run_once(
     conn: _endpoint.EndpointConn, customer: str, key: str, payload: bytes
 ) -> "decisions.Flow[_endpoint.Answer]":
-    """Runs a batch unless its key has run; returns the first answer.
+    """Runs a batch unless its key was already used; returns the first answer.
+
+    Args:
+        conn: A connection outside of a transaction.
+        customer: The customer; each has its own keys.
+        key: The idempotency key.
+        payload: The batch.
 
     Raises:
-        RequestFailedError: The key is malformed or belongs to another request.
+        RequestFailedError: The key is malformed or belongs to another request,
+            or its stored answer was not found.
         EndpointLostError: The connection ended; the outcome is unknown.
     """
     if not _KEY_PATTERN.fullmatch(key):
@@ -92,7 +100,7 @@
 def _with_ready(
     answer: _endpoint.Answer, conn: _endpoint.EndpointConn
 ) -> _endpoint.Answer:
-    """Returns an answer as it looks after the transaction."""
+    """Returns an answer that ends as it would outside of a transaction."""
     if answer.frames and answer.frames[-1].kind == _wire.READY:
         answer.frames.pop()
     answer.frames.append(_wire.Frame(_wire.READY, _wire.encode_ready("I")))
--- a/packages/node/src/ferry_node/_login.py
+++ b/packages/node/src/ferry_node/_login.py
@@ -10,6 +10,7 @@
 from ferry_node import _settings
 from ferry_node import _wire
 
+# Parameters that are reported to each caller after its login.
 PARAMETERS = {
     "server_version": "15.0",
     "server_encoding": "UTF8",
@@ -24,11 +25,11 @@
 
 
 class LoginDialog:
-    """A SCRAM login against the contracts in force.
+    """A SCRAM login that is checked against the active contracts.
 
     Attributes:
-        granted: The identity and the first state of the session, once the
-            caller has proved its password.
+        granted: The identity and the initial state of the session; None until
+            the caller has proved its password.
     """
 
     def __init__(
@@ -38,13 +39,15 @@
         secret: bytes,
         is_current: Callable[[], bool],
     ) -> None:
-        """Makes a dialog that has not begun.
+        """Creates a dialog that awaits the startup message.
 
         Args:
             cfg: The node's settings.
-            contracts: The contracts in force.
-            secret: This process's secret.
-            is_current: Whether these contracts were found to be the newest.
+            contracts: The active contracts.
+            secret: A secret of this process, from which logins that do not
+                exist get their keys.
+            is_current: Returns whether these contracts are confirmed to be
+                the newest.
         """
         self._cfg = cfg
         self._is_current = is_current
@@ -55,7 +58,7 @@
         self.granted: GrantedLogin | None = None
 
     def begin(self, params: dict[str, str], is_tls: bool) -> bytes:
-        """Takes the startup message in; returns the offer of a mechanism.
+        """Handles the startup message; returns the offer of a mechanism.
 
         Raises:
             RequestFailedError: TLS is required, or a setting is malformed.
@@ -83,11 +86,11 @@
         return _wire.encode_sasl(_auth.MECHANISM)
 
     def handle(self, msg: _wire.Message) -> bytes:
-        """Takes a message of the exchange in; returns the answer.
+        """Handles a message of the exchange; returns the answer.
 
         Raises:
-            RequestFailedError: The password is wrong, or the message is out
-                of order.
+            RequestFailedError: The password is wrong, or the message is not
+                expected now.
         """
         assert self._exchange is not None
         match msg:
@@ -104,11 +107,12 @@
                 )
 
     def _verify_proof(self, exchange: _auth.LoginExchange, data: bytes) -> str:
-        """Returns the server's last message for a right password.
+        """Returns the server's last message for a correct password.
 
         Raises:
-            RequestFailedError: The password is wrong; by contracts that may be
-                outdated, it may be right.
+            RequestFailedError: The password is wrong. If the contracts may be
+                outdated, the reason is OUTDATED instead of LOGIN_REFUSED: by
+                newer ones the password may be correct.
         """
         try:
             return exchange.handle_client_final(data)
@@ -125,7 +129,7 @@
 def _with_settings(
     state: decisions.SessionState, params: dict[str, str]
 ) -> decisions.SessionState:
-    """Returns the state after the settings of a startup message."""
+    """Applies the settings of a startup message to a session's state."""
     for name, value in params.items():
         if name.startswith(decisions.SETTING_PREFIX):
             short = name.removeprefix(decisions.SETTING_PREFIX)
--- a/packages/node/src/ferry_node/_pools.py
+++ b/packages/node/src/ferry_node/_pools.py
@@ -1,4 +1,4 @@
-"""Connections to one member, never more than its part of the limit."""
+"""A pool of connections to one member, with a limit on their number."""
 
 import collections
 from collections.abc import Callable
@@ -9,6 +9,7 @@
 from ferry_node import _settings
 from ferry_node import _wire
 
+# SQLSTATE too_many_connections.
 TOO_MANY_CONNECTIONS_SQLSTATE = "53300"
 RESET_QUERY = _wire.encode_query("DISCARD ALL")
 VALIDATION_QUERY = _wire.encode_query(";")
@@ -16,14 +17,14 @@
 SWEEP_INTERVAL_S = 5.0
 
 Connect = Callable[[int, str], _endpoint.EndpointConn]
-"""Begins a connection under a term and an ownership."""
+"""Starts a connection; called with its term and its owner."""
 
 
 class Pool:
     """The connections of this node to one member.
 
-    A connection goes back to the customer that used it last where it can, and
-    is reset before another customer gets it.
+    An idle connection is preferably reused for the customer that used it last,
+    and is reset before another customer gets it.
     """
 
     def __init__(
@@ -51,11 +52,14 @@
 
     @property
     def open_count(self) -> int:
-        """Connections that exist now."""
+        """The number of open connections, idle or in use."""
         return len(self._open)
 
     def configure(self, term: int, limit: int) -> None:
-        """Sets the term for connections to come, and their limit."""
+        """Sets the limit and the term of new connections.
+
+        Idle connections of another term, or above the limit, are closed.
+        """
         self._limit = limit
         if term != self._term:
             self._term = term
@@ -67,12 +71,12 @@
     def acquire(
         self, customer: str, deadline: float
     ) -> "decisions.Flow[_endpoint.EndpointConn]":
-        """Returns a clean, live connection of the present term.
+        """Returns a clean, working connection of the current term.
 
         Raises:
             EndpointUnreachableError: The member cannot be reached.
             EndpointLoginError: The member refused the connection.
-            TimeoutExpiredError: None became free before the deadline.
+            TimeoutExpiredError: No connection became free in time.
         """
         while True:
             conn = self._take_idle(customer)
@@ -86,11 +90,12 @@
             conn.close()
 
     def release(self, conn: _endpoint.EndpointConn, clean: bool) -> None:
-        """Takes a connection back.
+        """Returns a connection to the pool, or closes it.
 
         Args:
             conn: The connection.
-            clean: Whether it is idle, outside a transaction and owes nothing.
+            clean: Whether no transaction is open on it and no answer is
+                outstanding; otherwise it is closed.
         """
         if conn.closed:
             return
@@ -102,7 +107,7 @@
         self._wake()
 
     def close(self) -> None:
-        """Closes every connection and stops."""
+        """Closes all connections; no new ones are opened."""
         self._sweeper.stop()
         self._limit = 0
         for conn in list(self._open):
--- a/packages/node/src/ferry_node/_request_checks.py
+++ b/packages/node/src/ferry_node/_request_checks.py
@@ -1,4 +1,4 @@
-"""The conditions that a request meets before and after it is run."""
+"""Conditions that are checked before and after a request is run."""
 
 import typing
 
@@ -10,12 +10,24 @@
 from ferry_node import _settings
 
 POLL_INTERVAL_S = 0.003
+# A replica whose lag exceeds the allowed wait by more than this margin is not
+# expected to catch up in time.
 CATCH_UP_MARGIN_S = 0.5
 
 
 @attrs.define(slots=True)
 class RequestState:
-    """A request on its way through the steps."""
+    """A request and what is known of its execution so far.
+
+    Attributes:
+        req: The request.
+        contract: The contract of its customer.
+        deadline: When it expires, in seconds of the timer service.
+        sink: Called with the parts of a long answer; None to collect them.
+        asked_at: When it arrived at this node.
+        was_sent: Whether the endpoint may have received it.
+        streamed: Whether a part of the answer was already passed on.
+    """
 
     req: _messages.ExecuteRequest
     contract: decisions.Contract
@@ -27,7 +39,7 @@
 
 
 class RequestChecks:
-    """The conditions for requests at one member."""
+    """Checks the requests for one member."""
 
     def __init__(
         self,
@@ -43,22 +55,22 @@
 
     @property
     def leads(self) -> bool:
-        """Whether the member is the primary, by the record."""
+        """Whether the database's record names the member as primary."""
         record = self._watch.record
         return record is not None and record.primary == self._member.name
 
     def wait_until_eligible(
         self, state: RequestState
     ) -> "decisions.Flow[None]":
-        """Waits a little for a replica to show what the read needs.
+        """Waits until a replica is recent enough for a read.
 
-        What is known of the replica may be as old as the last probe, so it
-        is asked once in any case. It is asked again only while its usual lag
-        lets it catch up within the bound.
+        The replica's known position may be as old as the last probe, so its
+        status is requested at least once. It is requested again only while
+        the replica's usual lag lets it catch up within `catch_up_s`.
 
         Raises:
-            RequestFailedError: It does not show it in time.
-            EndpointUnreachableError: It cannot be asked.
+            RequestFailedError: The replica did not catch up in time.
+            EndpointUnreachableError: Its status could not be requested.
         """
         floor = required_floor(state.req)
         tracker = self._watch.tracker
@@ -90,11 +102,11 @@
     def wait_until_responsive(
         self, state: RequestState
     ) -> "decisions.Flow[None]":
-        """Holds work back from a member that should not be given any.
+        """Waits until the member responds and, if primary, is confirmed.
 
         Raises:
             RequestFailedError: A replica is silent, the primary has changed,
-                or the deadline came; nothing was handed over.
+                or the deadline has passed; the request was not sent.
         """
         while True:
             if state.req.as_primary:
@@ -115,7 +127,7 @@
             yield decisions.sleep(self._timers, POLL_INTERVAL_S)
 
     def _check_is_primary(self, state: RequestState) -> None:
-        """Refuses work for a primary that is known to be replaced."""
+        """Rejects a request for a primary that is known to be replaced."""
         record = self._watch.record
         if record is not None and not record.primary:
             raise decisions.RequestFailedError(decisions.NO_PRIMARY)
@@ -127,10 +139,11 @@
             )
 
     def _is_recently_confirmed(self) -> bool:
-        """Whether a majority knew the primary a short while ago.
+        """Whether a majority confirmed the primary within `hold_s`.
 
-        A primary that is cut off would run a statement that nobody can
-        confirm; held back, it is told "not run" instead of "unknown".
+        An isolated primary would run a statement that no majority can
+        confirm, and its outcome would be "unknown". A statement that is held
+        back instead fails as "not run".
         """
         confirmations = self._watch.confirmations
         if confirmations is None:
@@ -140,7 +153,12 @@
     def confirm(
         self, state: RequestState, answer: _endpoint.Answer
     ) -> "decisions.Flow[None]":
-        """Waits until a majority holds what the primary's answer shows."""
+        """Waits until a majority holds all that a primary's answer shows.
+
+        Raises:
+            RequestFailedError: The answer is of another term or below the
+                request's floor, or no majority confirmed it in time.
+        """
         if not state.req.as_primary or answer.position is None:
             return
         confirmations = self._watch.confirmations
@@ -171,10 +189,15 @@
     def prove(
         self, owner: str
     ) -> "decisions.Flow[decisions.MemberStatus | None]":
-        """Proves that the member leads and is owned, as of now.
+        """Proves that the member is the primary and belongs to the owner.
+
+        The two proofs run at the same time.
+
+        Args:
+            owner: The owner that the member has to report.
 
-        Returns its status, or None where that could not be proved. The two
-        proofs run at once.
+        Returns:
+            The member's status, or None if a proof failed.
         """
         watch = self._watch
         record = watch.record
@@ -199,7 +222,7 @@
 
 
 def required_floor(req: _messages.ExecuteRequest) -> decisions.Position:
-    """Returns the position that a request has to show."""
+    """Returns the lowest position that may answer a request."""
     if not req.floor:
         return decisions.ZERO_POSITION
     return decisions.Position.from_text(req.floor)
--- a/packages/node/src/ferry_node/_serving.py
+++ b/packages/node/src/ferry_node/_serving.py
@@ -1,7 +1,8 @@
-"""Serving one member: its slots, its connections and its transactions.
+"""Serves one member: its slots, its connections and its transactions.
 
-All statements of the fleet for one member pass through the node that serves
-it, so one queue is fair and one pool keeps the limit.
+All statements of the fleet for a member pass through the node that serves it.
+So a single queue can share the member fairly among the customers, and a
+single pool can keep the connection limit.
 """
 
 import itertools
@@ -18,6 +19,7 @@
 from ferry_node import _request_checks
 from ferry_node import _settings
 
+# The member refused a connection because another node owns it.
 NOT_OWNER_SQLSTATE = "57P05"
 
 
@@ -73,16 +75,19 @@
 
     @property
     def busy(self) -> int:
-        """Statements under way and transactions open."""
+        """The number of running statements and open transactions."""
         return len(self._executor.in_flight) + len(self.channels)
 
     @property
     def leads(self) -> bool:
-        """Whether the member is the primary, by the record."""
+        """Whether the database's record names the member as primary."""
         return self.request_checks.leads
 
     def configure(self) -> None:
-        """Takes in the present record: the term, and the part of the limit."""
+        """Applies the current record: its term and the connection limit.
+
+        Connections and transactions of another term are closed.
+        """
         record = self.watch.record
         database = self.watch.database
         limit = (
@@ -105,7 +110,7 @@
         req: _messages.ExecuteRequest,
         sink: _endpoint.Sink | None,
     ) -> "decisions.Future[_messages.ExecuteReply]":
-        """Runs a batch; the future's reply tells what became of it."""
+        """Runs a batch; failures are reported in the reply."""
         return decisions.start(self._execute(req, sink))
 
     def position(
@@ -113,7 +118,8 @@
     ) -> "decisions.Future[decisions.Position | None]":
         """Returns a position that covers all writes of a session.
 
-        None where this node is not proved to own the primary.
+        The result is None if it could not be proved that the member is the
+        primary and that this node owns it.
         """
         return decisions.start(self._position(session))
 
@@ -131,11 +137,11 @@
         return self.ownership.floor(session, status)
 
     def cancel(self, cancel_key: int) -> None:
-        """Asks the endpoint to stop a batch, if it runs here."""
+        """Asks the endpoint to cancel a batch, if it runs at this node."""
         self._executor.cancel(cancel_key)
 
     def drop(self, number: int) -> None:
-        """Rolls a transaction back by ending its connection."""
+        """Rolls back a transaction by closing its connection."""
         channel = self.channels.pop(number, None)
         if channel is None:
             return
@@ -144,7 +150,7 @@
             self.transaction_queue.release(channel.transaction_slot)
 
     def close(self) -> None:
-        """Ends everything that is under way."""
+        """Stops the service and closes all its connections."""
         self._sweeper.stop()
         self._executor.close()
         self.ownership.close()
@@ -184,14 +190,17 @@
             decisions.TimeoutExpiredError,
         ) as exc:
             return _failure(self._reason(state, exc), repr(exc))
-        except Exception as exc:  # noqa: BLE001 - a defect; the caller is told
+        except Exception as exc:  # noqa: BLE001 - a bug; reported to the caller
             logging.exception("event=defect_in_serving")
             return _failure(decisions.ANSWER_LOST, type(exc).__name__)
 
     def _reason(
         self, state: _request_checks.RequestState | None, exc: Exception
     ) -> decisions.Reason:
-        """Returns what a caller may conclude from a failure below."""
+        """Returns the reason to report for a failure at the endpoint.
+
+        It tells the caller whether the request may have run.
+        """
         if state is not None and state.was_sent:
             in_transaction = state.req.begin or bool(state.req.channel)
             if in_transaction and not state.req.may_end:
@@ -222,7 +231,7 @@
     def _run_alone(
         self, state: _request_checks.RequestState
     ) -> "decisions.Flow[_messages.ExecuteReply]":
-        """Runs a batch outside a transaction."""
+        """Runs a batch that belongs to no open transaction."""
         conn, answer = yield from self._executor.run(state, None)
         if answer.status != "I":
             channel = self._open_channel(state, conn, None)
@@ -258,7 +267,7 @@
     def _continue(
         self, state: _request_checks.RequestState
     ) -> "decisions.Flow[_messages.ExecuteReply]":
-        """Runs a batch of an open transaction."""
+        """Runs a batch in an open transaction."""
         channel = self.channels.get(state.req.channel)
         if channel is None or channel.customer != state.req.customer:
             raise decisions.RequestFailedError(decisions.TRANSACTION_LOST)
@@ -269,7 +278,7 @@
             self.drop(channel.number)
             raise
         channel.busy = False
-        channel.used = self._timers.now()
+        channel.last_used_at = self._timers.now()
         if answer.status != "I":
             return _reply(answer, channel.number)
         self.channels.pop(channel.number, None)
@@ -282,7 +291,7 @@
     def _acknowledge(
         self, state: _request_checks.RequestState, answer: _endpoint.Answer
     ) -> "decisions.Flow[None]":
-        """Confirms an answer and remembers the session's write."""
+        """Waits for an answer's confirmation and records a write's position."""
         yield from self.request_checks.confirm(state, answer)
         if not state.req.read and answer.position is not None:
             self.ownership.floors.note(state.req.session, answer.position)
@@ -304,10 +313,10 @@
         return channel
 
     def _sweep(self) -> None:
-        """Rolls back transactions that were idle for too long."""
+        """Rolls back transactions that were idle past the configured limit."""
         limit = self._timers.now() - self._cfg.transaction_idle_s
         for channel in list(self.channels.values()):
-            if not channel.busy and channel.used < limit:
+            if not channel.busy and channel.last_used_at < limit:
                 logging.info(
                     "event=transaction_idle customer=%s", channel.customer
                 )
@@ -317,10 +326,10 @@
 def answer_position(
     service: MemberService | None, req: _messages.PositionRequest
 ) -> "decisions.Future[_messages.PositionReply]":
-    """Returns the answer to a request for a position.
+    """Answers a peer's request for the position of a primary.
 
     Args:
-        service: The service of the member; None where this node has none.
+        service: The member's service; None if this node does not serve it.
         req: The request.
     """
 
@@ -334,12 +343,12 @@
 
 
 def _statement_limit(contract: decisions.Contract) -> int:
-    """Returns the connections that single statements may hold at once."""
+    """Returns how many connections single statements may use at once."""
     return max(1, contract.connections // 2)
 
 
 def _transaction_limit(contract: decisions.Contract) -> int:
-    """Returns the connections that open transactions may hold at once."""
+    """Returns how many connections open transactions may use at once."""
     return max(1, contract.connections - _statement_limit(contract))
 
 
--- a/packages/node/src/ferry_node/_wire.py
+++ b/packages/node/src/ferry_node/_wire.py
@@ -1,8 +1,8 @@
-"""The PostgreSQL protocol, version 3: the only module that uses `pygwire`.
+"""The PostgreSQL protocol, version 3; the only module that uses `pygwire`.
 
-Messages that a node acts on are decoded by the library. Answers of endpoints
-are relayed as the bytes that arrived: only their frames (a type byte and a
-length) are told apart.
+The library decodes the messages that a node acts on. Answers of endpoints are
+relayed as the bytes that arrived: they are only split into frames, each with
+a type byte and a length.
 """
 
 from collections.abc import Iterator
@@ -17,8 +17,10 @@
 
 _HEADER = struct.Struct("!cI")
 _HEADER_BYTES = 5
+# Buffered bytes of one incomplete message at which a caller is disconnected.
 MAX_CALLER_MESSAGE_BYTES = 64 << 20
 
+# Type bytes of endpoints' messages.
 READY = b"Z"
 ERROR = b"E"
 PARSE_COMPLETE = b"1"
@@ -45,6 +47,8 @@
 DataRow = messages.DataRow
 RowDescription = messages.RowDescription
 
+# Parameters in which endpoints, nodes and callers exchange positions, session
+# tokens, terms and owners.
 POSITION_PARAMETER = "rosemaryferry.position"
 SESSION_PARAMETER = "rosemaryferry.session"
 TERM_PARAMETER = "rosemaryferry.term"
@@ -52,11 +56,11 @@
 
 
 class MalformedMessageError(Exception):
-    """The other side sent bytes that are not the protocol."""
+    """The peer sent bytes that violate the protocol."""
 
 
 class CallerDecoder:
-    """Decodes what a caller sends."""
+    """Decodes the messages of one caller."""
 
     __slots__ = ("_decoder",)
 
@@ -64,10 +68,11 @@
         self._decoder = pygwire.FrontendMessageDecoder()
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Yields the messages that are complete.
+        """Yields the messages that `data` completes.
 
         Raises:
-            MalformedMessageError: The bytes are no message.
+            MalformedMessageError: The bytes are not a valid message, or the
+                message is too long.
         """
         self._decoder.feed(data)
         try:
@@ -85,29 +90,29 @@
             self._decoder.clear()
 
     def expect_sasl_initial(self) -> None:
-        """The next message starts a SASL exchange."""
+        """Decodes the next message as the start of a SASL exchange."""
         self._decoder.phase = (
             constants.ConnectionPhase.AUTHENTICATING_SASL_INITIAL
         )
 
     def expect_sasl_response(self) -> None:
-        """The next message goes on with a SASL exchange."""
+        """Decodes the next message as a response in a SASL exchange."""
         self._decoder.phase = (
             constants.ConnectionPhase.AUTHENTICATING_SASL_CONTINUE
         )
 
     def expect_statements(self) -> None:
-        """Startup is over."""
+        """Decodes all further messages as those after startup."""
         self._decoder.phase = constants.ConnectionPhase.READY
 
 
 @attrs.frozen(slots=True)
 class Frame:
-    """One message of an endpoint, as it arrived.
+    """One message of an endpoint, not decoded.
 
     Attributes:
-        kind: Its type byte.
-        data: All its bytes, header included.
+        kind: The type byte.
+        data: The whole message, including its header.
     """
 
     kind: bytes
@@ -115,7 +120,7 @@
 
 
 class FrameSplitter:
-    """Tells the frames of an endpoint's answers apart, without decoding."""
+    """Splits an endpoint's byte stream into frames without decoding them."""
 
     __slots__ = ("_buf",)
 
@@ -123,7 +128,7 @@
         self._buf = b""
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Returns the frames that are complete.
+        """Returns the frames that `data` completes.
 
         Raises:
             MalformedMessageError: A length is out of range.
@@ -171,7 +176,7 @@
 
 
 def authentication_code(frame: Frame) -> int:
-    """Returns which authentication message an endpoint sent; 0 for OK."""
+    """Returns the code of an authentication request; 0 means success."""
     return int.from_bytes(frame.data[_HEADER_BYTES : _HEADER_BYTES + 4], "big")
 
 
@@ -183,7 +188,7 @@
 def encode_error(
     reason: decisions.Reason, detail: str, severity: str = "ERROR"
 ) -> bytes:
-    """Returns an ErrorResponse for a typed reason."""
+    """Returns an ErrorResponse with a reason, its outcome and its details."""
     fields = {
         "S": severity,
         "V": severity,
@@ -197,7 +202,7 @@
 
 
 def encode_sqlstate(sqlstate: str, message: str) -> bytes:
-    """Returns an ErrorResponse of an endpoint."""
+    """Returns an ErrorResponse as an endpoint would send it."""
     fields = {"S": "ERROR", "V": "ERROR", "C": sqlstate, "M": message}
     return messages.ErrorResponse(fields=fields).to_wire()
 
@@ -221,7 +226,7 @@
 def encode_login_ok(
     parameters: dict[str, str], process_id: int, secret: bytes
 ) -> bytes:
-    """Returns all that follows a successful login, up to ReadyForQuery."""
+    """Returns the messages from AuthenticationOk up to ReadyForQuery."""
     parts = [messages.AuthenticationOk().to_wire()]
     parts += [encode_parameter(n, v) for n, v in parameters.items()]
     key = messages.BackendKeyData(process_id=process_id, secret_key=secret)
@@ -231,17 +236,17 @@
 
 
 def encode_sasl(mechanism: str) -> bytes:
-    """Returns the offer of one SASL mechanism."""
+    """Returns an AuthenticationSASL that offers one mechanism."""
     return messages.AuthenticationSASL(mechanisms=[mechanism]).to_wire()
 
 
 def encode_sasl_continue(text: str) -> bytes:
-    """Returns a SASL challenge."""
+    """Returns an AuthenticationSASLContinue with the server's challenge."""
     return messages.AuthenticationSASLContinue(data=text.encode()).to_wire()
 
 
 def encode_sasl_final(text: str) -> bytes:
-    """Returns the server's last SASL message."""
+    """Returns an AuthenticationSASLFinal with the server's signature."""
     return messages.AuthenticationSASLFinal(data=text.encode()).to_wire()
 
 
@@ -251,7 +256,7 @@
 
 
 def encode_gss_refusal() -> bytes:
-    """Returns the answer to a GSSEncRequest."""
+    """Returns the refusal of a GSSEncRequest."""
     return messages.GSSResponse(accepted=False).to_wire()
 
 
@@ -260,6 +265,7 @@
     return messages.CommandComplete(tag=tag).to_wire()
 
 
+# Object identifier of the type `text`.
 TEXT_OID = 25
 
 
--- a/packages/node/src/ferry_node/tests/test_inputs.py
+++ b/packages/node/src/ferry_node/tests/test_inputs.py
@@ -1,4 +1,7 @@
-"""The parsers of outside input: settings, callers' bytes, peers' bytes."""
+"""Tests the parsers of external input: settings, callers, endpoints, peers.
+
+Any input has to give a valid value or a typed error.
+"""
 
 import attrs
 import ferry_decisions as decisions
@@ -13,11 +16,11 @@
 from ferry_node import _probes
 from ferry_node import _wire
 
-FIXED = hypothesis.settings(
+DETERMINISTIC = hypothesis.settings(
     derandomize=True, max_examples=300, deadline=None, database=None
 )
 
-GOOD = """{
+VALID_SETTINGS = """{
   // A comment, and a trailing comma.
   "node": "hall-a-1", "data_centre": "hall-a", "host": "127.0.0.1",
   "store_url": "http://127.0.0.1:1", "vm_list_url": "http://127.0.0.1:2",
@@ -26,7 +29,7 @@
 
 
 def test_settings_with_comments():
-    cfg = node.settings_from_text(GOOD)
+    cfg = node.settings_from_text(VALID_SETTINGS)
     assert cfg.policy.silence_s == 2.0
     assert cfg.endpoints.driver == "standin"
 
@@ -43,19 +46,19 @@
 )
 def test_mistakes_in_settings_have_paths(name, old, new, paths):
     with pytest.raises(decisions.InvalidDocumentError) as found:
-        node.settings_from_text(GOOD.replace(old, new, 1))
+        node.settings_from_text(VALID_SETTINGS.replace(old, new, 1))
     shown = [getattr(e, "path", "") for e in found.value.exceptions]
     assert shown == paths, name
 
 
 def test_every_mistake_is_reported():
-    text = GOOD.replace('"hall-a-1"', "5").replace("0.5", '"x"')
+    text = VALID_SETTINGS.replace('"hall-a-1"', "5").replace("0.5", '"x"')
     with pytest.raises(decisions.InvalidDocumentError) as found:
         node.settings_from_text(text)
     assert len(found.value.exceptions) == 2
 
 
-@FIXED
+@DETERMINISTIC
 @hypothesis.given(st.text())
 def test_any_text_is_settings_or_a_typed_error(text):
     try:
@@ -64,7 +67,7 @@
         return
 
 
-@FIXED
+@DETERMINISTIC
 @hypothesis.given(st.lists(st.binary(max_size=60), max_size=6))
 def test_any_caller_bytes_are_messages_or_a_typed_error(chunks):
     for ready in (False, True):
@@ -81,7 +84,7 @@
             continue
 
 
-@FIXED
+@DETERMINISTIC
 @hypothesis.given(st.lists(st.binary(max_size=60), max_size=6))
 def test_any_endpoint_bytes_are_frames_or_a_typed_error(chunks):
     splitter = _wire.FrameSplitter()
@@ -93,7 +96,7 @@
     assert whole.startswith(b"".join(f.data for f in frames))
 
 
-@FIXED
+@DETERMINISTIC
 @hypothesis.given(st.lists(st.binary(max_size=80), max_size=6))
 def test_any_peer_bytes_are_messages_or_a_typed_error(chunks):
     decoder = _codec.MessageDecoder()
@@ -104,7 +107,7 @@
         return
 
 
-@FIXED
+@DETERMINISTIC
 @hypothesis.given(st.binary(max_size=120))
 def test_any_datagram_is_a_probe_or_a_typed_error(data):
     try:
@@ -213,6 +216,6 @@
 
 
 def test_settings_are_immutable():
-    cfg = node.settings_from_text(GOOD)
+    cfg = node.settings_from_text(VALID_SETTINGS)
     with pytest.raises(attrs.exceptions.FrozenInstanceError):
         cfg.node = "other"  # type: ignore[misc]
--- a/packages/node/src/ferry_node/tests/test_login.py
+++ b/packages/node/src/ferry_node/tests/test_login.py
@@ -1,4 +1,7 @@
-"""Logins against contracts that may be outdated."""
+"""Tests logins with contracts that may be outdated.
+
+A wrong login must not be refused for good while newer contracts may allow it.
+"""
 
 import ferry_decisions as decisions
 import pytest
@@ -28,7 +31,7 @@
 
 
 def log_in(is_current, login="clerk", customer="lone-star", password="correct"):
-    """Returns the dialog after a whole exchange with a real client."""
+    """Returns the dialog after a complete exchange with a SCRAM client."""
     book = decisions.ContractBook()
     book.merge(CUSTOMER)
     dialog = _login.LoginDialog(CFG, book, SECRET, lambda: is_current)
@@ -44,12 +47,12 @@
 
 
 def _text(message):
-    """Returns what an authentication message of the server carries."""
+    """Returns the payload of the server's authentication message."""
     return message[9:].decode()
 
 
 @pytest.mark.parametrize("is_current", [True, False])
-def test_who_is_known_is_let_in_by_any_contracts(is_current):
+def test_a_known_login_is_granted_by_any_contracts(is_current):
     assert log_in(is_current).granted is not None
 
 
@@ -61,7 +64,7 @@
 
 
 @pytest.mark.parametrize("who", REFUSED)
-def test_no_login_is_refused_for_good_by_outdated_contracts(who):
+def test_outdated_contracts_refuse_with_a_retryable_reason(who):
     with pytest.raises(decisions.RequestFailedError) as caught:
         log_in(is_current=False, **who)
     assert caught.value.reason is decisions.OUTDATED
@@ -69,7 +72,7 @@
 
 
 @pytest.mark.parametrize("who", REFUSED)
-def test_current_contracts_refuse_for_good(who):
+def test_current_contracts_refuse_permanently(who):
     with pytest.raises(decisions.RequestFailedError) as caught:
         log_in(is_current=True, **who)
     assert caught.value.reason is decisions.LOGIN_REFUSED
