--- a/packages/node/src/ferry_node/_conversation.py
+++ b/packages/node/src/ferry_node/_conversation.py
@@ -277,9 +277,9 @@
         floor = self._state.floor(self._identity.database)
         if floor is None or not reply.position:
             return False
-        position = decisions.Position.from_text(reply.position)
+        reply_position = decisions.Position.from_text(reply.position)
         return self._ctx.dispatcher.satisfies(
-            self._identity.database, position, floor
+            self._identity.database, reply_position, floor
         )
 
     @property
@@ -337,14 +337,16 @@
     ) -> "decisions.Flow[_messages.ExecuteReply]":
         """Runs a batch at the node that has the transaction open."""
         target = transaction.target
-        continued = attrs.evolve(
+        channel_req = attrs.evolve(
             req,
             member=target.member,
             as_primary=target.primary,
             channel=transaction.channel,
             begin=False,
         )
-        reply = yield self._ctx.dispatcher.send(target.node, continued, on_part)
+        reply = yield self._ctx.dispatcher.send(
+            target.node, channel_req, on_part
+        )
         lost = bool(reply.reason) and not reply.channel
         if lost and reply.reason == decisions.TRANSACTION_LOST.name:
             transaction.channel = 0
--- a/packages/node/src/ferry_node/_endpoint.py
+++ b/packages/node/src/ferry_node/_endpoint.py
@@ -1,8 +1,8 @@
 """A connection to an endpoint.
 
-Requests of different callers never overlap on a connection. If an answer is
-no longer awaited, its connection is closed instead of reused, so that a late
-answer cannot reach another caller.
+At most one request runs on it at a time. A connection with an outstanding
+answer is never reused but closed, so that a late answer cannot reach another
+caller.
 """
 
 import collections
@@ -216,7 +216,7 @@
             self._stream_out(pending)
 
     def _stream_out(self, pending: _Pending) -> None:
-        """Passes all frames to the sink but the last, which hold the outcome."""
+        """Passes on all frames but the last ones, which hold the outcome."""
         assert pending.sink is not None
         parts = []
         frames = pending.answer.frames
@@ -277,7 +277,7 @@
         self._timer.cancel()
         decisions.reject(self.ready, exc)
         pending, self._pending = self._pending, collections.deque()
-        for request in pending:
-            decisions.reject(request.fut, exc)
+        for unanswered in pending:
+            decisions.reject(unanswered.fut, exc)
         if self.on_closed is not None:
             self.on_closed(self)
--- a/packages/node/src/ferry_node/_execution.py
+++ b/packages/node/src/ferry_node/_execution.py
@@ -263,9 +263,9 @@
             return
         is_rejected_write = answer.sqlstate == READ_ONLY_SQLSTATE
         floor = _request_checks.required_floor(state.req)
-        position = answer.position or decisions.ZERO_POSITION
+        answer_position = answer.position or decisions.ZERO_POSITION
         if is_rejected_write or not decisions.satisfies(
-            position, floor, self._watch.tracker.history
+            answer_position, floor, self._watch.tracker.history
         ):
             self._pool.release(conn, clean=answer.status == "I")
             raise decisions.RequestFailedError(
--- a/packages/node/src/ferry_node/_pools.py
+++ b/packages/node/src/ferry_node/_pools.py
@@ -1,4 +1,4 @@
-"""A pool of connections to one member, with a limit on their number."""
+"""A pool of connections to one member, within its share of the limit."""
 
 import collections
 from collections.abc import Callable
