--- a/packages/node/src/ferry_node/_entry.py
+++ b/packages/node/src/ferry_node/_entry.py
@@ -238,9 +238,7 @@
         for paused in list(self._paused[database]):
             decisions.resolve(paused, None)
         outstanding = list(self._primary_requests[database])
-        lost = _peers.PeerLostError(
-            "the primary was replaced", may_have_arrived=True
-        )
+        lost = _peers.PeerLostError("the primary was replaced", was_sent=True)
         self._ctx.timers.after(
             REPLACED_PRIMARY_GRACE_S,
             lambda: [decisions.reject(f, lost) for f in outstanding],
@@ -388,7 +386,7 @@
     req: _messages.ExecuteRequest, exc: _peers.PeerLostError
 ) -> decisions.Reason:
     """Returns the reason to report when the stream to a node was lost."""
-    if not exc.may_have_arrived:
+    if not exc.was_sent:
         return decisions.NO_SERVING_NODE
     if (req.begin or req.channel) and not req.may_end:
         return decisions.TRANSACTION_LOST
