--- a/packages/node/src/ferry_node/tests/test_inputs.py
+++ b/packages/node/src/ferry_node/tests/test_inputs.py
@@ -47,8 +47,8 @@
 def test_mistakes_in_settings_have_paths(name, old, new, paths):
     with pytest.raises(decisions.InvalidDocumentError) as found:
         node.settings_from_text(VALID_SETTINGS.replace(old, new, 1))
-    shown = [getattr(e, "path", "") for e in found.value.exceptions]
-    assert shown == paths, name
+    found_paths = [getattr(e, "path", "") for e in found.value.exceptions]
+    assert found_paths == paths, name
 
 
 def test_every_mistake_is_reported():
