--- a/packages/node/src/ferry_node/_entry.py
+++ b/packages/node/src/ferry_node/_entry.py
@@ -220,13 +220,13 @@
     def satisfies(
         self,
         database: str,
-        position: decisions.Position,
+        answer_position: decisions.Position,
         floor: decisions.Position,
     ) -> bool:
         """Whether a position includes a floor, by the known term history."""
         record = self._ctx.record(database)
         history = record.history if record else decisions.History()
-        return decisions.satisfies(position, floor, history)
+        return decisions.satisfies(answer_position, floor, history)
 
     def note_record(self, database: str) -> None:
         """Reacts to a change of a database's record.
