--- a/packages/node/src/ferry_node/_batches.py
+++ b/packages/node/src/ferry_node/_batches.py
@@ -1,9 +1,9 @@
-"""What a caller sends, cut into batches that are run as one.
+"""Groups a caller's messages into batches that are run as a unit.
 
-A batch is a simple Query, or all extended-protocol messages up to a Sync.
-Endpoint connections are shared, so prepared statements live here: a named
-statement is sent again, as the unnamed one, with each batch that uses it, and
-the answers to what was added are taken out again.
+A batch is a simple Query, or all extended-protocol messages up to a Sync or
+Flush. Endpoint connections are shared, so a caller's prepared statements are
+kept here: each batch that uses a named statement sends it again as the unnamed
+one, and the answer to the added Parse is removed from the reply.
 """
 
 import attrs
@@ -11,11 +11,12 @@
 
 from ferry_node import _wire
 
+# Named prepared statements that are kept for one caller.
 MAX_STATEMENTS = 10_000
 
 
 class UnsupportedMessageError(decisions.RequestFailedError):
-    """The caller used a part of the protocol that is not offered."""
+    """The caller used an unsupported part of the protocol."""
 
     def __init__(self, detail: str) -> None:
         super().__init__(decisions.UNSUPPORTED, detail)
@@ -23,16 +24,18 @@
 
 @attrs.frozen(slots=True)
 class Batch:
-    """Statements that are handed to an endpoint together.
+    """Statements that are sent to an endpoint together.
 
     Attributes:
-        payload: The bytes for the endpoint; one ReadyForQuery answers them.
-        statements: What is known of each statement that is executed.
+        payload: The bytes for the endpoint, which answers them with a single
+            ReadyForQuery.
+        statements: The classification of each executed statement.
         simple: Whether it is a simple Query.
         hidden: Ordinals, from 0, of the ParseComplete frames in the answer
-            that the caller did not ask for.
-        messages: The caller's messages, for those answered by this node.
-        flushed: Whether a Flush ended it: its caller gets no ReadyForQuery.
+            that belong to an added Parse and are hidden from the caller.
+        messages: The caller's messages, for batches that this node answers.
+        flushed: Whether it ended with a Flush; its caller then gets no
+            ReadyForQuery.
     """
 
     payload: bytes
@@ -44,19 +47,19 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether it is a Sync and no more."""
+        """Whether it consists of a Sync only."""
         return not self.simple and len(self.messages) == 1
 
     @property
     def is_read(self) -> bool:
-        """Whether all of it is believed to read only."""
+        """Whether all its statements are classified as reads."""
         return all(
             s.kind is decisions.StatementKind.READ for s in self.statements
         )
 
     @property
     def is_local(self) -> bool:
-        """Whether this node answers all of it."""
+        """Whether this node answers it without an endpoint."""
         local = (decisions.StatementKind.SET, decisions.StatementKind.SHOW)
         return bool(self.statements) and all(
             s.kind in local for s in self.statements
@@ -64,7 +67,7 @@
 
     @property
     def changes_session(self) -> bool:
-        """Whether it sets state of the endpoint connection itself."""
+        """Whether it changes session state of the endpoint connection."""
         return any(
             s.kind is decisions.StatementKind.SESSION_STATE
             for s in self.statements
@@ -79,12 +82,12 @@
 
     @property
     def first_kind(self) -> decisions.StatementKind | None:
-        """The kind of the first statement; None where there is none."""
+        """The kind of the first statement; None without statements."""
         return self.statements[0].kind if self.statements else None
 
 
 class BatchReader:
-    """Cuts one caller's messages into batches."""
+    """Groups one caller's messages into batches."""
 
     __slots__ = (
         "_named",
@@ -92,8 +95,8 @@
         "_messages",
         "_sql",
         "_hidden",
-        "_parses",
-        "_current",
+        "_parse_count",
+        "_current_name",
         "_portals",
         "_executed",
     )
@@ -103,7 +106,7 @@
         self._clear()
 
     def reset(self) -> None:
-        """Forgets a batch that was refused in the middle."""
+        """Discards the messages of a batch that was rejected."""
         self._clear()
 
     def _clear(self) -> None:
@@ -111,33 +114,34 @@
         self._messages: list[_wire.Message] = []
         self._sql: dict[str, str] = {}
         self._hidden: list[int] = []
-        self._parses = 0
-        self._current: str | None = None
+        self._parse_count = 0
+        self._current_name: str | None = None
         self._portals: dict[str, str] = {}
         self._executed: list[decisions.Statement] = []
 
-    def take(self, msg: _wire.Message) -> Batch | None:
-        """Takes a message in; returns the batch that it completes, if any.
+    def add(self, msg: _wire.Message) -> Batch | None:
+        """Adds a message; returns the batch that it completes, if any.
 
         Raises:
-            UnsupportedMessageError: The message is not offered.
+            UnsupportedMessageError: The message is not supported, or the
+                caller keeps too many prepared statements.
         """
         if isinstance(msg, _wire.Query):
-            return self._simple(msg)
+            return self._make_simple_batch(msg)
         self._messages.append(msg)
         match msg:
             case _wire.Parse():
-                self._take_parse(msg)
+                self._handle_parse(msg)
             case _wire.Bind():
-                self._take_bind(msg)
+                self._handle_bind(msg)
             case _wire.Describe():
-                self._take_describe(msg)
+                self._handle_describe(msg)
             case _wire.Execute():
                 sql = self._portals.get(msg.portal, "")
                 self._executed.append(decisions.classify(sql))
                 self._parts.append(msg.to_wire())
             case _wire.Close():
-                self._take_close(msg)
+                self._handle_close(msg)
             case _wire.Sync():
                 return self._complete(flushed=False)
             case _wire.Flush():
@@ -147,16 +151,16 @@
                 raise UnsupportedMessageError(type(msg).__name__)
         return None
 
-    def _simple(self, msg: _wire.Query) -> Batch:
+    def _make_simple_batch(self, msg: _wire.Query) -> Batch:
         statement = decisions.classify(msg.query_string)
         return Batch(msg.to_wire(), (statement,), True, messages=(msg,))
 
-    def _take_parse(self, msg: _wire.Parse) -> None:
+    def _handle_parse(self, msg: _wire.Parse) -> None:
         if msg.statement:
-            self._remember(msg)
+            self._store_named(msg)
         self._add_parse(msg, msg.statement)
 
-    def _remember(self, msg: _wire.Parse) -> None:
+    def _store_named(self, msg: _wire.Parse) -> None:
         if self._named is None:
             self._named = {}
         if len(self._named) >= MAX_STATEMENTS:
@@ -168,25 +172,25 @@
             statement="", query=msg.query, param_types=msg.param_types
         )
         self._parts.append(unnamed.to_wire())
-        self._parses += 1
-        self._current = name
+        self._parse_count += 1
+        self._current_name = name
         self._sql[name] = msg.query
 
-    def _use(self, name: str) -> None:
-        """Makes a statement the unnamed one at the endpoint."""
-        if self._current == name or not name:
+    def _select_statement(self, name: str) -> None:
+        """Adds a Parse that makes a named statement the unnamed one."""
+        if self._current_name == name or not name:
             return
         known = (self._named or {}).get(name)
         if known is None:
-            return  # The endpoint answers that there is no such statement.
-        self._hidden.append(self._parses)
+            return  # The endpoint reports the unknown statement.
+        self._hidden.append(self._parse_count)
         self._add_parse(known, name)
 
-    def _take_bind(self, msg: _wire.Bind) -> None:
+    def _handle_bind(self, msg: _wire.Bind) -> None:
         name = msg.statement
-        self._use(name)
+        self._select_statement(name)
         self._portals[msg.portal] = self._sql.get(name, "")
-        if self._current == name:
+        if self._current_name == name:
             msg = _wire.Bind(
                 portal=msg.portal,
                 statement="",
@@ -196,17 +200,18 @@
             )
         self._parts.append(msg.to_wire())
 
-    def _take_describe(self, msg: _wire.Describe) -> None:
+    def _handle_describe(self, msg: _wire.Describe) -> None:
         if msg.kind == "S":
-            self._use(msg.name)
-            if self._current == msg.name:
+            self._select_statement(msg.name)
+            if self._current_name == msg.name:
                 msg = _wire.Describe(kind="S", name="")
         self._parts.append(msg.to_wire())
 
-    def _take_close(self, msg: _wire.Close) -> None:
+    def _handle_close(self, msg: _wire.Close) -> None:
         if msg.kind == "S":
             if self._named is not None:
                 self._named.pop(msg.name, None)
+            # The endpoint has no such statement, which a Close permits.
             msg = _wire.Close(kind="S", name="rosemaryferry-none")
         self._parts.append(msg.to_wire())
 
--- a/packages/node/src/ferry_node/_conversation.py
+++ b/packages/node/src/ferry_node/_conversation.py
@@ -1,4 +1,4 @@
-"""A caller's session after its login: its state, transaction and answers."""
+"""A caller's session after its login: settings, transaction and answers."""
 
 from collections.abc import Callable
 import itertools
@@ -16,20 +16,22 @@
 from ferry_node import _tracing
 from ferry_node import _wire
 
+# SQLSTATE in_failed_sql_transaction.
 IN_FAILED_TRANSACTION = "25P02"
 
 
 @attrs.frozen(slots=True)
 class ConversationContext:
-    """What all sessions of a node share.
+    """Dependencies that all sessions of a node share.
 
     Attributes:
         timers: The timer service.
         dispatcher: Runs batches.
-        metrics: Called with the customer, the seconds and the outcome of each
-            batch.
-        tracer: Makes the spans.
-        cancel_keys: Numbers that name batches, unique among all nodes.
+        metrics: Called after each batch with the customer, the elapsed time
+            in seconds and the outcome.
+        tracer: Creates the spans.
+        cancel_keys: Yields numbers that identify batches for cancellation,
+            unique among all nodes.
     """
 
     timers: decisions.TimerService
@@ -41,12 +43,13 @@
 
 @attrs.define(slots=True)
 class _Transaction:
-    """The transaction that a caller has open.
+    """The open transaction of a caller.
 
     Attributes:
-        target: The member and node that hold it.
-        channel: Its number there; 0 once it was lost.
-        status: What the caller was told of it: T or E.
+        target: The member and the node that run it.
+        channel: Its number at that node; 0 after it was lost.
+        status: The transaction status last reported to the caller: T (open)
+            or E (failed).
     """
 
     target: _targets.Target
@@ -55,7 +58,7 @@
 
 
 class Conversation:
-    """Runs one caller's batches, one after another."""
+    """Runs the batches of one caller, one after another."""
 
     __slots__ = (
         "_ctx",
@@ -63,7 +66,7 @@
         "_send",
         "_state",
         "_transaction",
-        "_token_sent",
+        "_last_token_sent",
         "_wrote_at",
         "_skipping",
         "_cancel_key",
@@ -79,9 +82,9 @@
         """Starts the session.
 
         Args:
-            ctx: What all sessions share.
-            identity: Who the caller is.
-            state: What its startup message asked for.
+            ctx: Dependencies that all sessions share.
+            identity: The caller's customer, login and database.
+            state: The session settings from its startup message.
             send: Sends bytes to the caller.
         """
         self._ctx = ctx
@@ -89,7 +92,7 @@
         self._send = send
         self._state = state
         self._transaction: _Transaction | None = None
-        self._token_sent = ""
+        self._last_token_sent = ""
         self._wrote_at = float("-inf")
         self._skipping = False
         self._cancel_key = 0
@@ -104,33 +107,33 @@
         return decisions.start(self._run(batch))
 
     def cancel(self) -> None:
-        """Asks to stop the batch that is under way."""
+        """Asks the serving node to cancel the running batch."""
         if self._cancel_key:
             self._ctx.dispatcher.cancel(self._cancel_key)
 
-    def _fail(
+    def _fail_batch(
         self, batch: _batches.Batch, reason: decisions.Reason, detail: str
     ) -> None:
-        """Sends an error that ends a batch."""
+        """Answers a batch with an error."""
         self._send(_wire.encode_error(reason, detail))
-        self._end(batch, failed=True)
+        self._end_batch(batch, failed=True)
 
-    def _end(self, batch: _batches.Batch, failed: bool) -> None:
-        """Ends a batch; after a failure, all up to the Sync is skipped."""
+    def _end_batch(self, batch: _batches.Batch, failed: bool) -> None:
+        """Ends a batch; after a failure, skips all messages up to the Sync."""
         if not batch.flushed:
             self.send_ready()
         elif failed:
             self._skipping = True
 
     def send_ready(self) -> None:
-        """Sends a ReadyForQuery."""
+        """Sends a ReadyForQuery with the current transaction status."""
         transaction = self._transaction
         self._send(
             _wire.encode_ready(transaction.status if transaction else "I")
         )
 
     def close(self) -> None:
-        """Rolls back what is open: the caller is gone."""
+        """Rolls back the open transaction; the caller has disconnected."""
         transaction, self._transaction = self._transaction, None
         if transaction is not None and transaction.channel:
             self._ctx.dispatcher.drop(transaction.target, transaction.channel)
@@ -139,13 +142,13 @@
         transaction = self._transaction
         if self._skipping:
             self._skipping = batch.flushed
-            self._end(batch, failed=False)
+            self._end_batch(batch, failed=False)
         elif batch.is_empty:
             self.send_ready()
         elif transaction is not None and not transaction.channel:
-            self._answer_lost(batch)
+            self._answer_in_failed_transaction(batch)
         elif batch.flushed and not self._may_flush(batch):
-            self._fail(
+            self._fail_batch(
                 batch,
                 decisions.UNSUPPORTED,
                 "a Flush between writes outside of a transaction",
@@ -153,7 +156,7 @@
         elif batch.is_local:
             self._run_local(batch)
         elif batch.changes_session:
-            self._fail(
+            self._fail_batch(
                 batch,
                 decisions.UNSUPPORTED,
                 "endpoint connections are shared; session state is not kept",
@@ -162,19 +165,20 @@
             yield from self._run_remote(batch)
 
     def _may_flush(self, batch: _batches.Batch) -> bool:
-        """Whether a batch may be run before the rest up to the Sync.
+        """Whether a batch that a Flush ended may run before the Sync.
 
-        All up to a Sync is one transaction, which a Flush must not cut.
+        All messages up to a Sync form one implicit transaction, which a Flush
+        must not split.
         """
         begins = batch.first_kind is decisions.StatementKind.BEGIN
         return batch.is_read or batch.is_local or begins or self.in_transaction
 
-    def _answer_lost(self, batch: _batches.Batch) -> None:
-        """Answers inside a transaction that is already rolled back."""
+    def _answer_in_failed_transaction(self, batch: _batches.Batch) -> None:
+        """Answers a batch in a transaction that was already rolled back."""
         ends = batch.first_kind is decisions.StatementKind.END
         if ends and len(batch.statements) == 1:
             self._transaction = None
-            self._send(_answers.ended_answer(batch))
+            self._send(_answers.rollback_answer(batch))
         else:
             self._send(
                 _wire.encode_sqlstate(
@@ -182,7 +186,7 @@
                     "the transaction was rolled back; end it",
                 )
             )
-        self._end(batch, failed=not ends)
+        self._end_batch(batch, failed=not ends)
 
     def _run_local(self, batch: _batches.Batch) -> None:
         values = []
@@ -196,53 +200,55 @@
                 else:
                     values.append(self._state.setting(statement.name))
         except decisions.RequestFailedError as exc:
-            self._fail(batch, exc.reason, exc.detail)
+            self._fail_batch(batch, exc.reason, exc.detail)
             return
         self._send(_answers.local_answer(batch, values))
-        self._end(batch, failed=False)
+        self._end_batch(batch, failed=False)
 
     def _run_remote(self, batch: _batches.Batch) -> "decisions.Flow[None]":
-        begun = self._ctx.timers.now()
+        started_at = self._ctx.timers.now()
         span = self._ctx.tracer.begin("caller")
-        lookup = self._floor_lookup(batch)
-        filtered = _answers.AnswerFilter(batch.hidden)
-        parts = _answers.Parts(lambda data: self._send(filtered.feed(data)))
-        if lookup is not None:
+        floor_lookup = self._floor_lookup(batch)
+        answer_filter = _answers.AnswerFilter(batch.hidden)
+        parts = _answers.PartBuffer(
+            lambda data: self._send(answer_filter.feed(data))
+        )
+        if floor_lookup is not None:
             parts.hold()
             if self._state.floor(self._identity.database) is None:
-                yield from self._take_floor(lookup)
+                yield from self._apply_floor(floor_lookup)
         self._cancel_key = next(self._ctx.cancel_keys)
         req = self._request(batch, span.context)
         if req.idempotency_key and (req.begin or self._transaction):
-            self._fail(
+            self._fail_batch(
                 batch,
                 decisions.UNSUPPORTED,
                 "an idempotency key in a transaction",
             )
             return
-        reply = yield from self._dispatch(req, begun, parts.take)
-        if lookup is not None:
-            yield from self._take_floor(lookup)
-            if not self._shows_floor(reply):
+        reply = yield from self._dispatch(req, started_at, parts.add)
+        if floor_lookup is not None:
+            yield from self._apply_floor(floor_lookup)
+            if not self._reaches_floor(reply):
                 parts.drop()
                 req = self._request(batch, span.context)
-                reply = yield from self._dispatch(req, begun, parts.take)
+                reply = yield from self._dispatch(req, started_at, parts.add)
             parts.release()
         outcome = reply.reason or "ran"
-        elapsed = self._ctx.timers.now() - begun
+        elapsed = self._ctx.timers.now() - started_at
         self._ctx.metrics(self._identity.customer, elapsed, outcome)
         span.end(outcome)
-        self._note_reply(batch, reply)
-        self._answer(batch, reply, filtered)
+        self._update_session(batch, reply)
+        self._answer(batch, reply, answer_filter)
 
     def _floor_lookup(
         self, batch: _batches.Batch
     ) -> "decisions.Future[decisions.Position | None] | None":
-        """Begins to look the session's floor up, if it carries no token.
+        """Starts a lookup of the session's floor, if it carries no token.
 
         Other connections of the same login may have written since the last
-        read. The read itself goes on meanwhile, with the floor that is
-        known, and its position is checked when both are there.
+        read. The read runs at the same time with the floor known so far, and
+        its position is checked once both results have arrived.
         """
         reads = batch.is_read and self._transaction is None
         if not reads or self._state.carries_token:
@@ -253,32 +259,32 @@
             self._identity.database, self._session_key
         )
 
-    def _take_floor(
-        self, lookup: "decisions.Future[decisions.Position | None]"
+    def _apply_floor(
+        self, floor_lookup: "decisions.Future[decisions.Position | None]"
     ) -> "decisions.Flow[None]":
-        """Waits for the floor; without one, the primary has to answer."""
-        found = yield lookup
+        """Waits for the floor; if it is unknown, the primary has to answer."""
+        found = yield floor_lookup
         database = self._identity.database
         if found is None:
             self._state = self._state.without_floor(database)
         else:
             self._state = self._state.with_floor(database, found)
 
-    def _shows_floor(self, reply: _messages.ExecuteReply) -> bool:
-        """Whether an answer shows the floor that has been looked up."""
+    def _reaches_floor(self, reply: _messages.ExecuteReply) -> bool:
+        """Whether an answer includes all writes up to the session's floor."""
         if reply.reason:
             return True
         floor = self._state.floor(self._identity.database)
         if floor is None or not reply.position:
             return False
-        shown = decisions.Position.from_text(reply.position)
+        reply_position = decisions.Position.from_text(reply.position)
         return self._ctx.dispatcher.satisfies(
-            self._identity.database, shown, floor
+            self._identity.database, reply_position, floor
         )
 
     @property
     def _session_key(self) -> str:
-        """What a session is known by when it carries no token."""
+        """The key that identifies a session that carries no token."""
         name = self._state.session_id or self._identity.login
         return f"{name}@{self._identity.customer}"
 
@@ -311,13 +317,13 @@
     def _dispatch(
         self,
         req: _messages.ExecuteRequest,
-        begun: float,
+        started_at: float,
         on_part: Callable[[bytes], object],
     ) -> "decisions.Flow[_messages.ExecuteReply]":
         transaction = self._transaction
         if transaction is not None:
             return (yield from self._continue(transaction, req, on_part))
-        since = begun - self._wrote_at
+        since = started_at - self._wrote_at
         reply, target = yield self._ctx.dispatcher.run(req, since, on_part)
         if reply.channel and target is not None:
             self._transaction = _Transaction(target, reply.channel)
@@ -329,16 +335,18 @@
         req: _messages.ExecuteRequest,
         on_part: Callable[[bytes], object],
     ) -> "decisions.Flow[_messages.ExecuteReply]":
-        """Runs a batch where the transaction is open."""
+        """Runs a batch at the node that has the transaction open."""
         target = transaction.target
-        bound = attrs.evolve(
+        channel_req = attrs.evolve(
             req,
             member=target.member,
             as_primary=target.primary,
             channel=transaction.channel,
             begin=False,
         )
-        reply = yield self._ctx.dispatcher.send(target.node, bound, on_part)
+        reply = yield self._ctx.dispatcher.send(
+            target.node, channel_req, on_part
+        )
         lost = bool(reply.reason) and not reply.channel
         if lost and reply.reason == decisions.TRANSACTION_LOST.name:
             transaction.channel = 0
@@ -347,7 +355,7 @@
             self._transaction = None
         return typing.cast(_messages.ExecuteReply, reply)
 
-    def _note_reply(
+    def _update_session(
         self, batch: _batches.Batch, reply: _messages.ExecuteReply
     ) -> None:
         if reply.reason:
@@ -366,24 +374,24 @@
         self,
         batch: _batches.Batch,
         reply: _messages.ExecuteReply,
-        filtered: _answers.AnswerFilter,
+        answer_filter: _answers.AnswerFilter,
     ) -> None:
         if reply.reason:
             reason = decisions.REASONS_BY_NAME.get(
                 reply.reason, decisions.ANSWER_LOST
             )
-            self._fail(batch, reason, reply.detail)
+            self._fail_batch(batch, reason, reply.detail)
             return
-        data = filtered.feed(reply.data)
+        data = answer_filter.feed(reply.data)
         token = self._state.token
         if batch.flushed:
             self._send(data[:-_READY_SIZE])
-            self._end(batch, failed=bool(reply.sqlstate))
+            self._end_batch(batch, failed=bool(reply.sqlstate))
             return
-        if token == self._token_sent:
+        if token == self._last_token_sent:
             self._send(data)
             return
-        self._token_sent = token
+        self._last_token_sent = token
         body, ready = data[:-_READY_SIZE], data[-_READY_SIZE:]
         parameter = _wire.encode_parameter(_wire.SESSION_PARAMETER, token)
         self._send(body + parameter + ready)
--- a/packages/node/src/ferry_node/_entry.py
+++ b/packages/node/src/ferry_node/_entry.py
@@ -1,7 +1,8 @@
-"""The entry side: sends a caller's batch to the node that serves the member.
+"""Routes a caller's batch to the node that serves the chosen member.
 
-What was handed over is never repeated, unless a replica ran it. What was
-proved not to have run is tried elsewhere until the caller's deadline.
+A batch that may have reached the primary is never sent again. A read that a
+replica ran may be repeated, and a batch that provably did not run is retried
+on other members until the caller's deadline.
 """
 
 import collections
@@ -17,14 +18,20 @@
 from ferry_node import _settings
 from ferry_node import _targets
 
-MAX_HELD = 2_000
-FIRST_BACKOFF_S = 0.01
-LAST_BACKOFF_S = 0.25
+# Batches per database that may wait for a retry; further ones fail at once.
+MAX_PAUSED_BATCHES = 2_000
+MIN_BACKOFF_S = 0.01
+MAX_BACKOFF_S = 0.25
+# Retry budget of a database: the retries that each first attempt earns, and
+# the most that can be saved up.
 RETRY_SHARE = 0.1
 RETRY_BURST = 20.0
 FLOOR_TIMEOUT_S = 0.05
-GIVE_UP_S = 0.15
+# After a primary was replaced, requests to its former serving node fail after
+# this time. A node that can be reached answers within it by itself.
+REPLACED_PRIMARY_GRACE_S = 0.15
 
+# Reasons after which the next member is tried at once.
 TRY_ELSEWHERE = frozenset(
     {
         decisions.BEHIND.name,
@@ -35,6 +42,8 @@
         decisions.TERM_CHANGED.name,
     }
 )
+# Reasons after which a batch is retried after a pause, or as soon as the
+# database's record changes.
 WAIT_FOR_CHANGE = frozenset(
     {
         decisions.TERM_CHANGED.name,
@@ -51,12 +60,12 @@
 ]
 
 
-Routed = tuple[_messages.ExecuteReply, _targets.Target | None]
-"""A reply, and the member that gave it."""
+RoutedReply = tuple[_messages.ExecuteReply, _targets.Target | None]
+"""A reply, and the last target that was tried; None if there was none."""
 
 
 class PeerCalls(typing.Protocol):
-    """Reaches other nodes."""
+    """Sends messages to other nodes."""
 
     def call(
         self,
@@ -64,10 +73,10 @@
         message: _messages.Message,
         on_part: Callable[[bytes], object] | None = None,
     ) -> "decisions.Future[typing.Any]":
-        """Sends a request; fails with `PeerLostError`."""
+        """Sends a request; its future fails with `PeerLostError`."""
 
     def check(self, node: decisions.Node) -> "decisions.Future[None]":
-        """Tells whether a node shows life; fails with `PeerLostError`."""
+        """Checks that a node responds; fails with `PeerLostError` if not."""
 
     def tell(self, node: decisions.Node, message: _messages.Message) -> None:
         """Sends a one-way message."""
@@ -75,20 +84,22 @@
 
 @attrs.frozen(slots=True)
 class EntryContext:
-    """What the entry side needs from its node.
+    """Dependencies that the dispatcher gets from its node.
 
     Attributes:
         timers: The timer service.
         cfg: The node's settings.
         peers: Streams to the other nodes.
-        nodes: Returns the nodes that are live.
+        nodes: Returns the live nodes.
         database: Returns a database's description.
         record: Returns a database's record.
-        leaving: Returns the endpoints, as `host:port`, that are leaving.
+        leaving: Returns the endpoints, as `host:port`, that are about to be
+            removed.
         execute: Runs a request at this node.
         drop: Rolls back an open transaction at this node.
-        cancel: Stops a batch at this node.
-        position: Proves a primary's position at this node.
+        cancel: Cancels a batch that runs at this node.
+        position: Returns the proved position of a primary that this node
+            serves.
     """
 
     timers: decisions.TimerService
@@ -108,7 +119,7 @@
 
 
 class Dispatcher:
-    """Finds a member for each batch, and tries again where that is safe."""
+    """Chooses a member for each batch and retries where that is safe."""
 
     def __init__(self, ctx: EntryContext) -> None:
         self._ctx = ctx
@@ -126,11 +137,11 @@
             )
         )
         self._random = random.Random(ctx.cfg.node)
-        self._sent: dict[int, decisions.Node] = {}
-        self._held: dict[str, set[decisions.Future[None]]] = (
+        self._node_by_cancel_key: dict[int, decisions.Node] = {}
+        self._paused: dict[str, set[decisions.Future[None]]] = (
             collections.defaultdict(set)
         )
-        self._under_way: dict[
+        self._primary_requests: dict[
             str, set[decisions.Future[_messages.ExecuteReply]]
         ] = collections.defaultdict(set)
         self.reads_by_replicas = 0
@@ -141,14 +152,17 @@
         req: _messages.ExecuteRequest,
         since_write_s: float,
         on_part: Callable[[bytes], object],
-    ) -> "decisions.Future[Routed]":
+    ) -> "decisions.Future[RoutedReply]":
         """Runs a batch that belongs to no open transaction.
 
         Args:
-            req: The request; its member is chosen here. With `read` it may
-                go to a replica.
+            req: The request without its member, which is chosen here. If
+                `read` is set, it may go to a replica.
             since_write_s: Seconds since its session last wrote.
-            on_part: Gets the parts of a long answer.
+            on_part: Called with each part of a long answer.
+
+        Returns:
+            A future of the reply and the last target that was tried.
         """
         return decisions.start(self._run(req, since_write_s, on_part))
 
@@ -159,20 +173,23 @@
         on_part: Callable[[bytes], object],
     ) -> "decisions.Future[_messages.ExecuteReply]":
         """Sends a request to one node; a lost stream becomes a reply."""
-        self._sent[req.cancel_key] = node
+        self._node_by_cancel_key[req.cancel_key] = node
         if node.name == self._ctx.cfg.node:
             fut = self._ctx.execute(req, on_part)
         else:
             fut = decisions.start(self._send(node, req, on_part))
-        fut.add_done_callback(lambda _: self._sent.pop(req.cancel_key, None))
+        fut.add_done_callback(
+            lambda _: self._node_by_cancel_key.pop(req.cancel_key, None)
+        )
         return fut
 
     def find_floor(
         self, database: str, session: str
     ) -> "decisions.Future[decisions.Position | None]":
-        """Returns a floor that covers all writes of a session.
+        """Returns a position that covers all writes of a session.
 
-        None where the primary could not be asked within the bound.
+        The result is None if the primary could not be asked within
+        `FLOOR_TIMEOUT_S`.
         """
         return decisions.start(self._find_floor(database, session))
 
@@ -203,32 +220,33 @@
     def satisfies(
         self,
         database: str,
-        shown: decisions.Position,
+        answer_position: decisions.Position,
         floor: decisions.Position,
     ) -> bool:
-        """Whether a position shows all below a floor, as far as is known."""
+        """Whether a position includes a floor, by the known term history."""
         record = self._ctx.record(database)
         history = record.history if record else decisions.History()
-        return decisions.satisfies(shown, floor, history)
+        return decisions.satisfies(answer_position, floor, history)
 
     def note_record(self, database: str) -> None:
-        """Takes in that a database's record has changed.
+        """Reacts to a change of a database's record.
 
-        What was held for the change goes on at once. What is still under way
-        at the former primary's serving node is given up after a short while:
-        a node that can be reached answers in that time by itself.
+        Paused batches are retried at once. Requests to the node that served
+        the former primary fail after `REPLACED_PRIMARY_GRACE_S`: a node that
+        can be reached answers within that time by itself.
         """
-        for held in list(self._held[database]):
-            decisions.resolve(held, None)
-        late = list(self._under_way[database])
+        for paused in list(self._paused[database]):
+            decisions.resolve(paused, None)
+        outstanding = list(self._primary_requests[database])
         lost = _peers.PeerLostError("the primary was replaced", was_sent=True)
         self._ctx.timers.after(
-            GIVE_UP_S, lambda: [decisions.reject(f, lost) for f in late]
+            REPLACED_PRIMARY_GRACE_S,
+            lambda: [decisions.reject(f, lost) for f in outstanding],
         )
 
     def cancel(self, cancel_key: int) -> None:
-        """Asks the node that was last sent a batch to stop it."""
-        node = self._sent.get(cancel_key)
+        """Asks the node that a batch was last sent to to cancel it."""
+        node = self._node_by_cancel_key.get(cancel_key)
         if node is None:
             return
         if node.name == self._ctx.cfg.node:
@@ -237,7 +255,7 @@
             self._ctx.peers.tell(node, _messages.CancelBatch(cancel_key))
 
     def drop(self, target: _targets.Target, channel: int) -> None:
-        """Rolls back a transaction whose caller is gone."""
+        """Rolls back a transaction whose caller has disconnected."""
         if target.node.name == self._ctx.cfg.node:
             self._ctx.drop(channel)
             return
@@ -255,14 +273,14 @@
                 yield self._ctx.peers.check(node)
             decisions.forward(self._ctx.peers.call(node, req, on_part), fut)
             if req.as_primary:
-                self._under_way[req.database].add(fut)
+                self._primary_requests[req.database].add(fut)
             reply = yield fut
         except _peers.PeerLostError as exc:
             return _messages.ExecuteReply(
-                reason=_reason_of_loss(req, exc).name, detail=str(exc)
+                reason=_reason_for_lost_stream(req, exc).name, detail=str(exc)
             )
         finally:
-            self._under_way[req.database].discard(fut)
+            self._primary_requests[req.database].discard(fut)
         return typing.cast(_messages.ExecuteReply, reply)
 
     def _run(
@@ -270,7 +288,7 @@
         req: _messages.ExecuteRequest,
         since_write_s: float,
         on_part: Callable[[bytes], object],
-    ) -> "decisions.Flow[Routed]":
+    ) -> "decisions.Flow[RoutedReply]":
         timers = self._ctx.timers
         deadline = timers.now() + req.budget_s
         budget = self._budgets[req.database]
@@ -282,16 +300,18 @@
             streamed = True
             on_part(data)
 
-        tried = 0
+        rounds = 0
         reply = _messages.ExecuteReply(reason=decisions.NO_SERVING_NODE.name)
         target: _targets.Target | None = None
         while True:
-            for target in self._targets.order(req, since_write_s, tried):
-                left = deadline - timers.now()
-                if left <= 0:
+            for target in self._targets.order(req, since_write_s, rounds):
+                remaining_s = deadline - timers.now()
+                if remaining_s <= 0:
                     break
                 reply = yield self.send(
-                    target.node, _addressed(req, target, left), part
+                    target.node,
+                    _request_for_target(req, target, remaining_s),
+                    part,
                 )
                 if reply.reason not in TRY_ELSEWHERE or streamed:
                     break
@@ -299,46 +319,45 @@
             done = not reply.reason or streamed
             if done or reply.reason not in WAIT_FOR_CHANGE:
                 break
-            tried += 1
+            rounds += 1
             if not (
-                yield from self._pause(req.database, budget, tried, deadline)
+                yield from self._pause(req.database, budget, rounds, deadline)
             ):
                 break
-        self._count(req, target, reply)
+        self._count_read(req, target, reply)
         return reply, target
 
     def _pause(
         self,
         database: str,
         budget: decisions.RetryBudget,
-        tried: int,
+        rounds: int,
         deadline: float,
     ) -> "decisions.Flow[bool]":
-        """Holds a batch before its next try; returns whether it may go on.
-
-        A new record ends the pause at once.
+        """Waits before a retry; returns whether the batch may be retried.
 
-        Nothing of it was handed over, so trying again costs the endpoint
-        nothing; the budget keeps the load between nodes in bounds.
+        A change of the database's record ends the pause at once. The batch
+        was not sent to an endpoint, so a retry adds no load there; the retry
+        budget limits the load between the nodes.
         """
-        if len(self._held[database]) >= MAX_HELD:
+        if len(self._paused[database]) >= MAX_PAUSED_BATCHES:
             return False
         pause = decisions.backoff(
-            tried, FIRST_BACKOFF_S, LAST_BACKOFF_S, self._random
+            rounds, MIN_BACKOFF_S, MAX_BACKOFF_S, self._random
         )
         if not budget.take():
-            pause = LAST_BACKOFF_S
+            pause = MAX_BACKOFF_S
         if self._ctx.timers.now() + pause >= deadline:
             return False
         changed: decisions.Future[None] = decisions.sleep(
             self._ctx.timers, pause
         )
-        self._held[database].add(changed)
+        self._paused[database].add(changed)
         yield changed
-        self._held[database].discard(changed)
+        self._paused[database].discard(changed)
         return True
 
-    def _count(
+    def _count_read(
         self,
         req: _messages.ExecuteRequest,
         target: _targets.Target | None,
@@ -352,18 +371,21 @@
             self.reads_by_replicas += 1
 
 
-def _addressed(
-    req: _messages.ExecuteRequest, target: _targets.Target, left: float
+def _request_for_target(
+    req: _messages.ExecuteRequest, target: _targets.Target, remaining_s: float
 ) -> _messages.ExecuteRequest:
     return attrs.evolve(
-        req, member=target.member, as_primary=target.primary, budget_s=left
+        req,
+        member=target.member,
+        as_primary=target.primary,
+        budget_s=remaining_s,
     )
 
 
-def _reason_of_loss(
+def _reason_for_lost_stream(
     req: _messages.ExecuteRequest, exc: _peers.PeerLostError
 ) -> decisions.Reason:
-    """Returns what a lost stream to a serving node means for a request."""
+    """Returns the reason to report when the stream to a node was lost."""
     if not exc.was_sent:
         return decisions.NO_SERVING_NODE
     if (req.begin or req.channel) and not req.may_end:
--- a/packages/node/src/ferry_node/_login.py
+++ b/packages/node/src/ferry_node/_login.py
@@ -10,6 +10,7 @@
 from ferry_node import _settings
 from ferry_node import _wire
 
+# Parameters that are reported to each caller after its login.
 PARAMETERS = {
     "server_version": "15.0",
     "server_encoding": "UTF8",
@@ -20,15 +21,15 @@
     "standard_conforming_strings": "on",
 }
 
-Granted = tuple[_auth.Identity, decisions.SessionState]
+GrantedLogin = tuple[_auth.Identity, decisions.SessionState]
 
 
 class LoginDialog:
-    """A SCRAM login against the contracts in force.
+    """A SCRAM login that is checked against the active contracts.
 
     Attributes:
-        granted: The identity and the first state of the session, once the
-            caller has proved its password.
+        granted: The identity and the initial state of the session; None until
+            the caller has proved its password.
     """
 
     def __init__(
@@ -38,24 +39,26 @@
         secret: bytes,
         is_current: Callable[[], bool],
     ) -> None:
-        """Makes a dialog that has not begun.
+        """Creates a dialog that awaits the startup message.
 
         Args:
             cfg: The node's settings.
-            contracts: The contracts in force.
-            secret: This process's secret.
-            is_current: Whether these contracts were found to be the newest.
+            contracts: The active contracts.
+            secret: A secret of this process, from which logins that do not
+                exist get their keys.
+            is_current: Returns whether these contracts are confirmed to be
+                the newest.
         """
         self._cfg = cfg
         self._is_current = is_current
         self._contracts = contracts
         self._secret = secret
         self._exchange: _auth.LoginExchange | None = None
-        self._pending: Granted | None = None
-        self.granted: Granted | None = None
+        self._pending: GrantedLogin | None = None
+        self.granted: GrantedLogin | None = None
 
     def begin(self, params: dict[str, str], is_tls: bool) -> bytes:
-        """Takes the startup message in; returns the offer of a mechanism.
+        """Handles the startup message; returns the offer of a mechanism.
 
         Raises:
             RequestFailedError: TLS is required, or a setting is malformed.
@@ -82,20 +85,20 @@
         self._exchange = _auth.LoginExchange(login, self._secret)
         return _wire.encode_sasl(_auth.MECHANISM)
 
-    def take(self, msg: _wire.Message) -> bytes:
-        """Takes a message of the exchange in; returns the answer.
+    def handle(self, msg: _wire.Message) -> bytes:
+        """Handles a message of the exchange; returns the answer.
 
         Raises:
-            RequestFailedError: The password is wrong, or the message is out
-                of order.
+            RequestFailedError: The password is wrong, or the message is not
+                expected now.
         """
         assert self._exchange is not None
         match msg:
             case _wire.SASLInitialResponse():
-                challenge = self._exchange.first(msg.data)
+                challenge = self._exchange.handle_client_first(msg.data)
                 return _wire.encode_sasl_continue(challenge)
             case _wire.SASLResponse():
-                final = self._prove(self._exchange, msg.data)
+                final = self._verify_proof(self._exchange, msg.data)
                 self.granted = self._pending
                 return _wire.encode_sasl_final(final)
             case _:
@@ -103,15 +106,16 @@
                     decisions.PROTOCOL_VIOLATION, type(msg).__name__
                 )
 
-    def _prove(self, exchange: _auth.LoginExchange, data: bytes) -> str:
-        """Returns the server's last message for a right password.
+    def _verify_proof(self, exchange: _auth.LoginExchange, data: bytes) -> str:
+        """Returns the server's last message for a correct password.
 
         Raises:
-            RequestFailedError: The password is wrong; by contracts that may be
-                outdated, it may be right.
+            RequestFailedError: The password is wrong. If the contracts may be
+                outdated, the reason is OUTDATED instead of LOGIN_REFUSED: by
+                newer ones the password may be correct.
         """
         try:
-            return exchange.final(data)
+            return exchange.handle_client_final(data)
         except decisions.RequestFailedError as exc:
             is_current = self._is_current()
             logging.info("event=login_refused is_current=%s", is_current)
@@ -125,7 +129,7 @@
 def _with_settings(
     state: decisions.SessionState, params: dict[str, str]
 ) -> decisions.SessionState:
-    """Returns the state after the settings of a startup message."""
+    """Applies the settings of a startup message to a session's state."""
     for name, value in params.items():
         if name.startswith(decisions.SETTING_PREFIX):
             short = name.removeprefix(decisions.SETTING_PREFIX)
--- a/packages/node/src/ferry_node/_pools.py
+++ b/packages/node/src/ferry_node/_pools.py
@@ -1,4 +1,4 @@
-"""Connections to one member, never more than its part of the limit."""
+"""A pool of connections to one member, within its share of the limit."""
 
 import collections
 from collections.abc import Callable
@@ -9,21 +9,22 @@
 from ferry_node import _settings
 from ferry_node import _wire
 
-TOO_MANY = "53300"
-RESET = _wire.encode_query("DISCARD ALL")
-VALIDATE = _wire.encode_query(";")
-VALIDATE_TIMEOUT_S = 0.25
-SWEEP_S = 5.0
+# SQLSTATE too_many_connections.
+TOO_MANY_CONNECTIONS_SQLSTATE = "53300"
+RESET_QUERY = _wire.encode_query("DISCARD ALL")
+VALIDATION_QUERY = _wire.encode_query(";")
+VALIDATION_TIMEOUT_S = 0.25
+SWEEP_INTERVAL_S = 5.0
 
 Connect = Callable[[int, str], _endpoint.EndpointConn]
-"""Begins a connection under a term and an ownership."""
+"""Starts a connection; called with its term and its owner."""
 
 
 class Pool:
     """The connections of this node to one member.
 
-    A connection goes back to the customer that used it last where it can, and
-    is reset before another customer gets it.
+    An idle connection is preferably reused for the customer that used it last,
+    and is reset before another customer gets it.
     """
 
     def __init__(
@@ -36,7 +37,7 @@
     ) -> None:
         self._owner = owner
         self._timers = timers
-        self._make = connect
+        self._connect_to_member = connect
         self._cfg = cfg
         self._limit = limit
         self._term = 0
@@ -45,15 +46,20 @@
         self._waiters: collections.deque[decisions.Future[None]] = (
             collections.deque()
         )
-        self._sweeper = decisions.PeriodicTimer(timers, SWEEP_S, self._sweep)
+        self._sweeper = decisions.PeriodicTimer(
+            timers, SWEEP_INTERVAL_S, self._close_idle
+        )
 
     @property
     def open_count(self) -> int:
-        """Connections that exist now."""
+        """The number of open connections, idle or in use."""
         return len(self._open)
 
     def configure(self, term: int, limit: int) -> None:
-        """Sets the term for connections to come, and their limit."""
+        """Sets the limit and the term of new connections.
+
+        Idle connections of another term, or above the limit, are closed.
+        """
         self._limit = limit
         if term != self._term:
             self._term = term
@@ -65,12 +71,12 @@
     def acquire(
         self, customer: str, deadline: float
     ) -> "decisions.Flow[_endpoint.EndpointConn]":
-        """Returns a clean, live connection of the present term.
+        """Returns a clean, working connection of the current term.
 
         Raises:
             EndpointUnreachableError: The member cannot be reached.
             EndpointLoginError: The member refused the connection.
-            TimeoutExpiredError: None became free before the deadline.
+            TimeoutExpiredError: No connection became free in time.
         """
         while True:
             conn = self._take_idle(customer)
@@ -79,28 +85,29 @@
             if conn is None:
                 yield self._wait(deadline)
                 continue
-            if (yield from self._made_clean(conn, customer)):
+            if (yield from self._prepare(conn, customer)):
                 return conn
             conn.close()
 
     def release(self, conn: _endpoint.EndpointConn, clean: bool) -> None:
-        """Takes a connection back.
+        """Returns a connection to the pool, or closes it.
 
         Args:
             conn: The connection.
-            clean: Whether it is idle, outside a transaction and owes nothing.
+            clean: Whether no transaction is open on it and no answer is
+                outstanding; otherwise it is closed.
         """
         if conn.closed:
             return
-        over = len(self._open) > self._limit
-        if not clean or over or conn.term != self._term:
+        is_over_limit = len(self._open) > self._limit
+        if not clean or is_over_limit or conn.term != self._term:
             conn.close()
             return
         self._idle.append(conn)
         self._wake()
 
     def close(self) -> None:
-        """Closes every connection and stops."""
+        """Closes all connections; no new ones are opened."""
         self._sweeper.stop()
         self._limit = 0
         for conn in list(self._open):
@@ -112,19 +119,19 @@
                 return self._idle.pop(index)
         return self._idle.pop() if self._idle else None
 
-    def _made_clean(
+    def _prepare(
         self, conn: _endpoint.EndpointConn, customer: str
     ) -> "decisions.Flow[bool]":
         """Resets or validates a connection; returns whether it is usable."""
         if conn.customer != customer:
-            request = RESET
+            request = RESET_QUERY
         elif self._timers.now() - conn.idle_since > self._cfg.validate_after_s:
-            request = VALIDATE
+            request = VALIDATION_QUERY
         else:
             return True
         try:
             answer = yield decisions.with_timeout(
-                self._timers, VALIDATE_TIMEOUT_S, conn.execute(request)
+                self._timers, VALIDATION_TIMEOUT_S, conn.execute(request)
             )
         except (decisions.TimeoutExpiredError, _endpoint.EndpointLostError):
             return False
@@ -134,14 +141,14 @@
     def _connect(
         self, customer: str
     ) -> "decisions.Flow[_endpoint.EndpointConn]":
-        conn = self._make(self._term, self._owner)
+        conn = self._connect_to_member(self._term, self._owner)
         self._open.add(conn)
-        conn.on_closed = self._forget
+        conn.on_closed = self._on_conn_closed
         conn.customer = customer
         yield conn.ready
         return conn
 
-    def _forget(self, conn: _endpoint.EndpointConn) -> None:
+    def _on_conn_closed(self, conn: _endpoint.EndpointConn) -> None:
         self._open.discard(conn)
         if conn in self._idle:
             self._idle.remove(conn)
@@ -163,7 +170,7 @@
             if decisions.resolve(fut, None):
                 return
 
-    def _sweep(self) -> None:
+    def _close_idle(self) -> None:
         limit = self._timers.now() - self._cfg.idle_keep_s
         for conn in list(self._idle):
             if conn.idle_since < limit:
--- a/packages/node/src/ferry_node/_serving.py
+++ b/packages/node/src/ferry_node/_serving.py
@@ -1,7 +1,8 @@
-"""Serving one member: its slots, its connections and its transactions.
+"""Serves one member: its slots, its connections and its transactions.
 
-All statements of the fleet for one member pass through the node that serves
-it, so one queue is fair and one pool keeps the limit.
+All statements of the fleet for a member pass through the node that serves it.
+So a single queue can share the member fairly among the customers, and a
+single pool can keep the connection limit.
 """
 
 import itertools
@@ -18,6 +19,7 @@
 from ferry_node import _request_checks
 from ferry_node import _settings
 
+# The member refused a connection because another node owns it.
 NOT_OWNER_SQLSTATE = "57P05"
 
 
@@ -44,13 +46,13 @@
         self.request_checks = _request_checks.RequestChecks(
             timers, watch, member, cfg.policy
         )
-        self._numbers = channel_numbers
+        self._channel_numbers = channel_numbers
         database = watch.database
         order = decisions.ADMISSION_POLICIES.get(cfg.policy.admission)
         self.queue = decisions.AdmissionQueue(
             timers, database.slots, order(), limit=_statement_limit
         )
-        self.seats = decisions.AdmissionQueue(
+        self.transaction_queue = decisions.AdmissionQueue(
             timers,
             database.transaction_connections,
             order(),
@@ -73,16 +75,19 @@
 
     @property
     def busy(self) -> int:
-        """Statements under way and transactions open."""
+        """The number of running statements and open transactions."""
         return len(self._executor.in_flight) + len(self.channels)
 
     @property
     def leads(self) -> bool:
-        """Whether the member is the primary, by the record."""
+        """Whether the database's record names the member as primary."""
         return self.request_checks.leads
 
     def configure(self) -> None:
-        """Takes in the present record: the term, and the part of the limit."""
+        """Applies the current record: its term and the connection limit.
+
+        Connections and transactions of another term are closed.
+        """
         record = self.watch.record
         database = self.watch.database
         limit = (
@@ -105,7 +110,7 @@
         req: _messages.ExecuteRequest,
         sink: _endpoint.Sink | None,
     ) -> "decisions.Future[_messages.ExecuteReply]":
-        """Runs a batch; the future's reply tells what became of it."""
+        """Runs a batch; failures are reported in the reply."""
         return decisions.start(self._execute(req, sink))
 
     def position(
@@ -113,7 +118,8 @@
     ) -> "decisions.Future[decisions.Position | None]":
         """Returns a position that covers all writes of a session.
 
-        None where this node is not proved to own the primary.
+        The result is None if it could not be proved that the member is the
+        primary and that this node owns it.
         """
         return decisions.start(self._position(session))
 
@@ -131,20 +137,20 @@
         return self.ownership.floor(session, status)
 
     def cancel(self, cancel_key: int) -> None:
-        """Asks the endpoint to stop a batch, if it runs here."""
+        """Asks the endpoint to cancel a batch, if it runs at this node."""
         self._executor.cancel(cancel_key)
 
     def drop(self, number: int) -> None:
-        """Rolls a transaction back by ending its connection."""
+        """Rolls back a transaction by closing its connection."""
         channel = self.channels.pop(number, None)
         if channel is None:
             return
         channel.conn.close(cancel=channel.busy)
-        if channel.seat is not None:
-            self.seats.release(channel.seat)
+        if channel.transaction_slot is not None:
+            self.transaction_queue.release(channel.transaction_slot)
 
     def close(self) -> None:
-        """Ends everything that is under way."""
+        """Stops the service and closes all its connections."""
         self._sweeper.stop()
         self._executor.close()
         self.ownership.close()
@@ -159,19 +165,21 @@
     ) -> "decisions.Flow[_messages.ExecuteReply]":
         now = self._timers.now()
         deadline = now + req.budget_s
-        work: _request_checks.Work | None = None
+        state: _request_checks.RequestState | None = None
         try:
             contract = self._contract(req)
-            work = _request_checks.Work(req, contract, deadline, sink, now)
+            state = _request_checks.RequestState(
+                req, contract, deadline, sink, now
+            )
             if req.channel:
-                return (yield from self._continue(work))
+                return (yield from self._continue(state))
             if not req.as_primary:
-                yield from self.request_checks.wait_until_eligible(work)
-            yield from self.request_checks.wait_until_responsive(work)
-            yield from self.ownership.wait_until_owned(work.deadline)
+                yield from self.request_checks.wait_until_eligible(state)
+            yield from self.request_checks.wait_until_responsive(state)
+            yield from self.ownership.wait_until_owned(state.deadline)
             if req.begin:
-                return (yield from self._begin(work))
-            return (yield from self._run_alone(work))
+                return (yield from self._begin(state))
+            return (yield from self._run_alone(state))
         except decisions.RequestFailedError as exc:
             return _failure(exc.reason, exc.detail)
         except (
@@ -181,21 +189,24 @@
             decisions.TermReplacedError,
             decisions.TimeoutExpiredError,
         ) as exc:
-            return _failure(self._reason(work, exc), repr(exc))
-        except Exception as exc:  # noqa: BLE001 - a defect; the caller is told
+            return _failure(self._reason(state, exc), repr(exc))
+        except Exception as exc:  # noqa: BLE001 - a bug; reported to the caller
             logging.exception("event=defect_in_serving")
             return _failure(decisions.ANSWER_LOST, type(exc).__name__)
 
     def _reason(
-        self, work: _request_checks.Work | None, exc: Exception
+        self, state: _request_checks.RequestState | None, exc: Exception
     ) -> decisions.Reason:
-        """Returns what a caller may conclude from a failure below."""
-        if work is not None and work.was_sent:
-            in_transaction = work.req.begin or bool(work.req.channel)
-            if in_transaction and not work.req.may_end:
+        """Returns the reason to report for a failure at the endpoint.
+
+        It tells the caller whether the request may have run.
+        """
+        if state is not None and state.was_sent:
+            in_transaction = state.req.begin or bool(state.req.channel)
+            if in_transaction and not state.req.may_end:
                 return decisions.TRANSACTION_LOST
-            repeatable = work.req.read and not work.req.as_primary
-            if repeatable and not work.streamed:
+            repeatable = state.req.read and not state.req.as_primary
+            if repeatable and not state.streamed:
                 return decisions.READ_CUT
             return decisions.ANSWER_LOST
         login = isinstance(exc, _endpoint.EndpointLoginError)
@@ -218,92 +229,94 @@
         return contract
 
     def _run_alone(
-        self, work: _request_checks.Work
+        self, state: _request_checks.RequestState
     ) -> "decisions.Flow[_messages.ExecuteReply]":
-        """Runs a batch outside a transaction."""
-        conn, answer = yield from self._executor.run(work, None)
+        """Runs a batch that belongs to no open transaction."""
+        conn, answer = yield from self._executor.run(state, None)
         if answer.status != "I":
-            channel = self._open_channel(work, conn, None)
+            channel = self._open_channel(state, conn, None)
             return _reply(answer, channel.number)
         self.pool.release(conn, clean=True)
-        yield from self._acknowledge(work, answer)
+        yield from self._acknowledge(state, answer)
         return _reply(answer, 0)
 
     def _begin(
-        self, work: _request_checks.Work
+        self, state: _request_checks.RequestState
     ) -> "decisions.Flow[_messages.ExecuteReply]":
         """Runs a batch that opens a transaction."""
-        seat = None
+        transaction_slot = None
         if self.leads:
-            seat = yield self.seats.acquire(work.contract, work.deadline)
+            transaction_slot = yield self.transaction_queue.acquire(
+                state.contract, state.deadline
+            )
         try:
-            conn, answer = yield from self._executor.run(work, None)
+            conn, answer = yield from self._executor.run(state, None)
         except BaseException:
-            if seat is not None:
-                self.seats.release(seat)
+            if transaction_slot is not None:
+                self.transaction_queue.release(transaction_slot)
             raise
         if answer.status == "I":
-            if seat is not None:
-                self.seats.release(seat)
+            if transaction_slot is not None:
+                self.transaction_queue.release(transaction_slot)
             self.pool.release(conn, clean=True)
-            yield from self._acknowledge(work, answer)
+            yield from self._acknowledge(state, answer)
             return _reply(answer, 0)
-        channel = self._open_channel(work, conn, seat)
+        channel = self._open_channel(state, conn, transaction_slot)
         return _reply(answer, channel.number)
 
     def _continue(
-        self, work: _request_checks.Work
+        self, state: _request_checks.RequestState
     ) -> "decisions.Flow[_messages.ExecuteReply]":
-        """Runs a batch of an open transaction."""
-        channel = self.channels.get(work.req.channel)
-        if channel is None or channel.customer != work.req.customer:
+        """Runs a batch in an open transaction."""
+        channel = self.channels.get(state.req.channel)
+        if channel is None or channel.customer != state.req.customer:
             raise decisions.RequestFailedError(decisions.TRANSACTION_LOST)
         channel.busy = True
         try:
-            _, answer = yield from self._executor.run(work, channel)
+            _, answer = yield from self._executor.run(state, channel)
         except BaseException:
             self.drop(channel.number)
             raise
         channel.busy = False
-        channel.used = self._timers.now()
+        channel.last_used_at = self._timers.now()
         if answer.status != "I":
             return _reply(answer, channel.number)
         self.channels.pop(channel.number, None)
-        if channel.seat is not None:
-            self.seats.release(channel.seat)
+        if channel.transaction_slot is not None:
+            self.transaction_queue.release(channel.transaction_slot)
         self.pool.release(channel.conn, clean=True)
-        yield from self._acknowledge(work, answer)
+        yield from self._acknowledge(state, answer)
         return _reply(answer, 0)
 
     def _acknowledge(
-        self, work: _request_checks.Work, answer: _endpoint.Answer
+        self, state: _request_checks.RequestState, answer: _endpoint.Answer
     ) -> "decisions.Flow[None]":
-        """Confirms an answer and remembers the session's write."""
-        yield from self.request_checks.confirm(work, answer)
-        if not work.req.read and answer.position is not None:
-            self.ownership.floors.note(work.req.session, answer.position)
+        """Waits for an answer's confirmation and records a write's position."""
+        yield from self.request_checks.confirm(state, answer)
+        if not state.req.read and answer.position is not None:
+            self.ownership.floors.note(state.req.session, answer.position)
 
     def _open_channel(
         self,
-        work: _request_checks.Work,
+        state: _request_checks.RequestState,
         conn: _endpoint.EndpointConn,
-        seat: decisions.Slot | None,
+        transaction_slot: decisions.Slot | None,
     ) -> _execution.Channel:
         channel = _execution.Channel(
-            next(self._numbers),
-            work.req.customer,
+            next(self._channel_numbers),
+            state.req.customer,
             conn,
-            seat,
+            transaction_slot,
             self._timers.now(),
         )
         self.channels[channel.number] = channel
         return channel
 
     def _sweep(self) -> None:
-        """Rolls back transactions that were idle for too long."""
+        """Rolls back transactions that were idle past the configured limit."""
         limit = self._timers.now() - self._cfg.transaction_idle_s
         for channel in list(self.channels.values()):
-            if not channel.busy and channel.used < limit:
+            if not channel.busy and channel.last_used_at < limit:
                 logging.info(
                     "event=transaction_idle customer=%s", channel.customer
                 )
@@ -313,10 +326,10 @@
 def answer_position(
     service: MemberService | None, req: _messages.PositionRequest
 ) -> "decisions.Future[_messages.PositionReply]":
-    """Returns the answer to a request for a position.
+    """Answers a peer's request for the position of a primary.
 
     Args:
-        service: The service of the member; None where this node has none.
+        service: The member's service; None if this node does not serve it.
         req: The request.
     """
 
@@ -330,12 +343,12 @@
 
 
 def _statement_limit(contract: decisions.Contract) -> int:
-    """Returns the connections that single statements may hold at once."""
+    """Returns how many connections single statements may use at once."""
     return max(1, contract.connections // 2)
 
 
 def _transaction_limit(contract: decisions.Contract) -> int:
-    """Returns the connections that open transactions may hold at once."""
+    """Returns how many connections open transactions may use at once."""
     return max(1, contract.connections - _statement_limit(contract))
 
 
