--- a/packages/node/src/ferry_node/_peers.py
+++ b/packages/node/src/ferry_node/_peers.py
@@ -28,9 +28,9 @@
         handed: Whether the request may have reached the peer.
     """
 
-    def __init__(self, detail: str, handed: bool) -> None:
+    def __init__(self, detail: str, may_have_arrived: bool) -> None:
         super().__init__(detail)
-        self.handed = handed
+        self.may_have_arrived = may_have_arrived
 
 
 @attrs.define(slots=True)
--- a/packages/node/src/ferry_node/_serving.py
+++ b/packages/node/src/ferry_node/_serving.py
@@ -166,7 +166,7 @@
             if not req.as_primary:
                 yield from self.gates.until_fit(work)
             yield from self.gates.until_responsive(work)
-            yield from self.ownership.hold_until_owned(work.deadline)
+            yield from self.ownership.wait_until_owned(work.deadline)
             if req.begin:
                 return (yield from self._begin(work))
             return (yield from self._run_alone(work))
@@ -198,7 +198,7 @@
             return decisions.ANSWER_LOST
         login = isinstance(exc, _endpoint.EndpointLoginError)
         if login and exc.sqlstate == NOT_OWNER_SQLSTATE:  # type: ignore[attr-defined]
-            self.ownership.lose()
+            self.ownership.note_lost()
             return decisions.NO_SERVING_NODE
         if login and exc.sqlstate == _execution.STALE_TERM_SQLSTATE:  # type: ignore[attr-defined]
             return decisions.TERM_CHANGED
