--- a/packages/node/src/ferry_node/__init__.py
+++ b/packages/node/src/ferry_node/__init__.py
@@ -1,4 +1,8 @@
-"""The node: wires decisions to sockets, timers and the platform."""
+"""The node daemon.
+
+Connects the decision logic of `ferry_decisions` to sockets, timers, and the
+platform's services.
+"""
 
 from ferry_node._auth import make_login
 from ferry_node._drivers import CONTROL_FUNCTION
--- a/packages/node/src/ferry_node/_admin.py
+++ b/packages/node/src/ferry_node/_admin.py
@@ -1,7 +1,7 @@
-"""The administration API: contracts, status and metrics over HTTP.
+"""Administration API: contracts, status and metrics over HTTP.
 
-It runs on threads of its own. Everything that touches the node's state is
-done on the node's loop and waited for.
+The HTTP server runs on its own threads. Whatever touches the node's state is
+submitted to the node's event loop, and the HTTP thread waits for the result.
 """
 
 import hmac
@@ -22,7 +22,8 @@
 if typing.TYPE_CHECKING:
     from ferry_node import _node
 
-CALL_TIMEOUT_S = 10.0
+# Limits each socket operation of a request and the wait for the event loop.
+REQUEST_TIMEOUT_S = 10.0
 MAX_BODY_BYTES = 1 << 20
 JSON_TYPE = "application/json"
 TEXT_TYPE = "text/plain; version=0.0.4"
@@ -36,10 +37,11 @@
     """An HTTP response.
 
     Attributes:
-        status: The HTTP status.
-        body: What is sent.
-        content_type: Its type.
-        etag: The version of what is shown; empty for none.
+        status: The HTTP status code.
+        body: The body, encoded.
+        content_type: The media type of the body.
+        etag: The version of the returned contract, sent as `ETag`; empty for
+            a response without a version.
     """
 
     status: int
@@ -49,7 +51,11 @@
 
 
 class AdminServer:
-    """Serves the API of one node."""
+    """Serves the administration API of one node.
+
+    Attributes:
+        port: The TCP port that the server listens on.
+    """
 
     def __init__(self, node: "_node.Node") -> None:
         self._node = node
@@ -57,18 +63,18 @@
         server = self
 
         class Handler(http.server.BaseHTTPRequestHandler):
-            """Hands each request to the server's one function."""
+            """Forwards requests of all methods to `AdminServer.handle`."""
 
             protocol_version = "HTTP/1.1"
-            timeout = CALL_TIMEOUT_S
+            timeout = REQUEST_TIMEOUT_S
 
-            def do_GET(self) -> None:  # noqa: N802 - the library's name
+            def do_GET(self) -> None:  # noqa: N802 - name set by http.server
                 server.handle(self)
 
-            def do_PUT(self) -> None:  # noqa: N802 - the library's name
+            def do_PUT(self) -> None:  # noqa: N802 - name set by http.server
                 server.handle(self)
 
-            def do_DELETE(self) -> None:  # noqa: N802 - the library's name
+            def do_DELETE(self) -> None:  # noqa: N802 - name set by http.server
                 server.handle(self)
 
             def log_message(self, format: str, *args: object) -> None:
@@ -85,17 +91,20 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Stops serving."""
+        """Stops the server and closes its listening socket."""
         self._server.shutdown()
         self._server.server_close()
 
     def handle(self, request: http.server.BaseHTTPRequestHandler) -> None:
-        """Answers one request."""
+        """Handles one request and writes its response.
+
+        An unexpected failure is logged and answered with status 500.
+        """
         try:
             response = self._route(request)
         except _contracts_api.ApiError as exc:
             response = Response(exc.status, exc.body())
-        except Exception:  # noqa: BLE001 - answered and logged
+        except Exception:  # noqa: BLE001 - logged, answered with 500
             logging.exception("event=admin_failed")
             response = Response(500, b'{"error":"internal"}')
         request.send_response(response.status)
@@ -107,7 +116,7 @@
         request.wfile.write(response.body)
 
     def _route(self, request: http.server.BaseHTTPRequestHandler) -> Response:
-        body = self._body(request)
+        body = self._read_body(request)
         path = urllib.parse.urlsplit(request.path).path
         parts = [urllib.parse.unquote(p) for p in path.split("/") if p]
         match (request.command, parts):
@@ -119,43 +128,50 @@
                 return Response(200, _json(shown))
             case ("GET", ["v1", "contracts"]):
                 found = self._on_loop(self._node.contracts.in_force)
-                return Response(200, _json([_public(c) for c in found]))
+                return Response(200, _json([_redacted(c) for c in found]))
             case ("GET", ["v1", "contracts", customer]):
                 contract = self._contracts.show(customer)
                 return Response(
-                    200, _json(_public(contract)), etag=str(contract.version)
+                    200, _json(_redacted(contract)), etag=str(contract.version)
                 )
             case ("GET", ["v1", "contracts", customer, "history"]):
-                found_history = self._contracts.history(customer)
-                return Response(200, _json(found_history))
+                history = self._contracts.history(customer)
+                return Response(200, _json(history))
             case ("PUT", ["v1", "contracts", customer]):
-                change = self._change(request)
+                change = self._parse_change(request)
                 contract = self._contracts.put(customer, body, change)
                 return Response(
-                    200, _json(_public(contract)), etag=str(contract.version)
+                    200, _json(_redacted(contract)), etag=str(contract.version)
                 )
             case ("DELETE", ["v1", "contracts", customer]):
-                change = self._change(request)
+                change = self._parse_change(request)
                 contract = self._contracts.delete(customer, change)
                 return Response(
-                    200, _json(_public(contract)), etag=str(contract.version)
+                    200, _json(_redacted(contract)), etag=str(contract.version)
                 )
         raise _contracts_api.ApiError(404, "not_found", path)
 
-    def _body(self, request: http.server.BaseHTTPRequestHandler) -> bytes:
+    def _read_body(self, request: http.server.BaseHTTPRequestHandler) -> bytes:
         length = request.headers.get("Content-Length", "0")
         if not length.isdecimal() or int(length) > MAX_BODY_BYTES:
             raise _contracts_api.ApiError(413, "body_too_long", length)
         return request.rfile.read(int(length))
 
-    def _change(
+    def _parse_change(
         self, request: http.server.BaseHTTPRequestHandler
     ) -> _contracts_api.Change:
-        """Returns who asks for a change, after checking the secret."""
+        """Returns the change that the request's headers describe.
+
+        Raises:
+            ApiError: The admin token is missing or wrong, or the node has
+                none and so accepts no changes.
+        """
         expected = f"Bearer {self._node.cfg.admin_token}"
         given = request.headers.get("Authorization", "")
-        closed = not self._node.cfg.admin_token
-        if closed or not hmac.compare_digest(given.encode(), expected.encode()):
+        is_read_only = not self._node.cfg.admin_token
+        if is_read_only or not hmac.compare_digest(
+            given.encode(), expected.encode()
+        ):
             raise _contracts_api.ApiError(401, "unauthorized", "")
         etag = request.headers.get("If-Match", "").strip('" ')
         return _contracts_api.Change(
@@ -168,15 +184,15 @@
         fut = runtime.call_on(
             self._node.loop, lambda: decisions.completed(work())
         )
-        return fut.result(CALL_TIMEOUT_S)
+        return fut.result(REQUEST_TIMEOUT_S)
 
 
 def _json(value: object) -> bytes:
     return json.dumps(value, indent=1).encode() + b"\n"
 
 
-def _public(contract: decisions.Contract) -> object:
-    """Returns a contract without what checks its passwords."""
+def _redacted(contract: decisions.Contract) -> object:
+    """Returns a contract as JSON values, without password verifiers."""
     shown = decisions.unstructure(contract)
     shown["logins"] = [login.name for login in contract.logins]
     return shown
--- a/packages/node/src/ferry_node/_audits.py
+++ b/packages/node/src/ferry_node/_audits.py
@@ -1,4 +1,4 @@
-"""Audit records: who changed which contract, kept beside it in the store."""
+"""Audit records of contract changes, kept in the store beside contracts."""
 
 import json
 
@@ -10,25 +10,25 @@
 
 @attrs.frozen(slots=True)
 class AuditRecord:
-    """A record as the store keeps it.
+    """An audit record in its stored form.
 
     Attributes:
-        key: Its key; records of a customer stand together, by version.
-        value: The contract without what checks passwords, as JSON.
+        key: The store key. It sorts by customer and then by version.
+        value: The contract as JSON, without password verifiers.
     """
 
     key: str
     value: bytes
 
 
-def prefix_of(customer: str) -> str:
-    """Returns what the keys of a customer's records begin with."""
+def audit_prefix(customer: str) -> str:
+    """Returns the common prefix of the keys of a customer's records."""
     return f"{AUDIT_PREFIX}{customer}/"
 
 
-def record_of(contract: decisions.Contract) -> AuditRecord:
-    """Returns the record of a version of a contract."""
+def audit_record(contract: decisions.Contract) -> AuditRecord:
+    """Returns the audit record of one contract version."""
     shown = decisions.unstructure(contract)
     shown["logins"] = [login.name for login in contract.logins]
-    key = f"{prefix_of(contract.customer)}{contract.version:08d}"
+    key = f"{audit_prefix(contract.customer)}{contract.version:08d}"
     return AuditRecord(key, json.dumps(shown).encode())
--- a/packages/node/src/ferry_node/_board.py
+++ b/packages/node/src/ferry_node/_board.py
@@ -1,33 +1,33 @@
-"""The entries of a node's blackboard."""
+"""Keys of the blackboard that a node's controllers read and write."""
 
 import ferry_decisions as decisions
 
 NODES: decisions.BoardKey[tuple[decisions.Node, ...]] = decisions.BoardKey(
     "nodes", ()
 )
-"""The nodes that are live, this one included."""
+"""The nodes in use, this one included: alive and not leaving."""
 
 LEAVING: decisions.BoardKey[frozenset[str]] = decisions.BoardKey(
     "leaving", frozenset()
 )
-"""Endpoints, as `host:port`, and nodes, by name, that are leaving."""
+"""The endpoints (as `host:port`) and nodes (by name) that are leaving."""
 
 DATABASES: decisions.BoardKey[dict[str, decisions.Database]] = (
     decisions.BoardKey("databases", {})
 )
-"""The databases, by name."""
+"""The topology of each database, by database name."""
 
 RECORDS: decisions.BoardKey[dict[str, decisions.Record]] = decisions.BoardKey(
     "records", {}
 )
-"""The record of each database, by name."""
+"""The newest known record of each database, by database name."""
 
 SERVED: decisions.BoardKey[frozenset[tuple[str, str]]] = decisions.BoardKey(
     "served", frozenset()
 )
-"""Pairs of a database and a member that this node serves."""
+"""The (database, member) pairs that this node serves."""
 
 STORE_READER: decisions.BoardKey[bool] = decisions.BoardKey(
     "store_reader", False
 )
-"""Whether this node is one of the few that ask the store."""
+"""Whether this node is one of its data centre's store readers."""
--- a/packages/node/src/ferry_node/_codec.py
+++ b/packages/node/src/ferry_node/_codec.py
@@ -1,8 +1,9 @@
-"""Coding of the messages between nodes, by `msgpack`.
+"""Encoding of the messages between nodes, with `msgpack`.
 
-On the wire a message is an array: protocol version, type code, correlation
-id, and the fields in their order. An unknown version or code, or a field of
-another type, is a typed error and closes that stream only.
+On the wire, a message is an array of the protocol version, the type code, the
+correlation id, and the fields in declaration order. An unknown version or
+code, or a field of the wrong type, raises `PeerProtocolError`, which closes
+the affected stream only.
 """
 
 from collections.abc import Iterator
@@ -20,7 +21,7 @@
 
 
 class PeerProtocolError(Exception):
-    """A peer sent what is no message of this protocol."""
+    """A peer sent bytes that violate the protocol between nodes."""
 
 
 @attrs.frozen(slots=True)
@@ -28,8 +29,9 @@
     """A message with its correlation id.
 
     Attributes:
-        correlation: Chosen by the asking side; the answer carries it too.
-        message: The message.
+        correlation: The id that the requesting side chose. Its reply carries
+            the same id.
+        message: The decoded message.
     """
 
     correlation: int
@@ -37,14 +39,14 @@
 
 
 def encode(correlation: int, message: _messages.Message) -> bytes:
-    """Returns the bytes of a message."""
+    """Encodes a message."""
     fields = [getattr(message, a.name) for a in type(message).__attrs_attrs__]
     row = [VERSION, _messages.CODE_OF[type(message)], correlation, *fields]
     return bytes(msgpack.packb(row))
 
 
 class MessageDecoder:
-    """Decodes a stream of messages."""
+    """Decodes messages from a byte stream incrementally."""
 
     __slots__ = ("_values",)
 
@@ -52,17 +54,17 @@
         self._values = runtime.ValueDecoder(MAX_MESSAGE_BYTES)
 
     def feed(self, data: bytes) -> Iterator[Envelope]:
-        """Yields the messages that are complete.
+        """Adds received bytes and yields the messages that they complete.
 
         Raises:
-            PeerProtocolError: The bytes are no message of this protocol.
+            PeerProtocolError: The bytes violate the protocol.
         """
         try:
             rows = self._values.feed(data)
         except runtime.InvalidMessageError as exc:
             raise PeerProtocolError(str(exc)) from exc
         for row in rows:
-            yield _envelope(row)
+            yield _parse_envelope(row)
 
 
 _FIELD_TYPES: dict[type, tuple[type, ...]] = {
@@ -74,7 +76,7 @@
 }
 
 
-def _envelope(row: object) -> Envelope:
+def _parse_envelope(row: object) -> Envelope:
     if not isinstance(row, list) or len(row) < 3:
         raise PeerProtocolError("not an array of three or more")
     version, code, correlation, *fields = row
@@ -96,7 +98,7 @@
 def pack_entries(
     entries: typing.Iterable[decisions.StoreEntry],
 ) -> list[list[typing.Any]]:
-    """Returns entries of the store as rows."""
+    """Converts store entries to rows of key, value, era and number."""
     return [
         [e.key, e.value, e.revision.era, e.revision.number] for e in entries
     ]
@@ -105,10 +107,10 @@
 def unpack_entries(
     rows: list[list[typing.Any]],
 ) -> list[decisions.StoreEntry]:
-    """Returns entries of the store from rows.
+    """Converts rows from `pack_entries` back to store entries.
 
     Raises:
-        PeerProtocolError: One has another form.
+        PeerProtocolError: A row has a different shape.
     """
     entries = []
     for row in rows:
@@ -124,7 +126,11 @@
 def pack_versions(
     versions: dict[str, decisions.Version],
 ) -> dict[str, list[int]]:
-    """Returns how new entries are, as a row for each key."""
+    """Converts versions to rows, by key.
+
+    A row holds the era and number of the revision and the count and step of
+    the rank.
+    """
     return {
         key: [v.revision.era, v.revision.number, v.rank.count, v.rank.step]
         for key, v in versions.items()
@@ -134,10 +140,10 @@
 def unpack_versions(
     rows: dict[str, list[int]],
 ) -> dict[str, decisions.Version]:
-    """Returns how new entries are, from rows.
+    """Converts rows from `pack_versions` back to versions.
 
     Raises:
-        PeerProtocolError: One has another form.
+        PeerProtocolError: A row has a different shape.
     """
     versions = {}
     for key, row in rows.items():
--- a/packages/node/src/ferry_node/_contracts_api.py
+++ b/packages/node/src/ferry_node/_contracts_api.py
@@ -1,4 +1,9 @@
-"""Changes of contracts: one wins, and each operator is told the truth."""
+"""Contract operations of the administration API.
+
+Of several concurrent changes to a contract, exactly one succeeds. Each
+operator receives the actual outcome of the request, also when the store's
+reply to the write was lost.
+"""
 
 import datetime
 import json
@@ -15,10 +20,10 @@
 if typing.TYPE_CHECKING:
     from ferry_node import _node
 
-WAIT_S = 8.0
-READ_BACK_TRIES = 4
+RESULT_TIMEOUT_S = 8.0
+MAX_READ_BACKS = 4
 READ_BACK_PAUSE_S = 0.3
-MAX_HISTORY = 50
+MAX_HISTORY_RECORDS = 50
 SALT_BYTES = 16
 
 
@@ -26,13 +31,13 @@
 
 
 class ApiError(Exception):
-    """A request of the administration API that failed.
+    """A request to the administration API failed.
 
     Attributes:
-        status: The HTTP status.
-        code: The failure's identifier.
-        detail: Words for the operator.
-        mistakes: For a document, each mistake.
+        status: The HTTP status code.
+        code: A machine-readable identifier of the failure.
+        detail: An explanation for the operator.
+        mistakes: Every mistake in an invalid document.
     """
 
     def __init__(
@@ -58,12 +63,14 @@
 
 @attrs.frozen(slots=True)
 class Change:
-    """Who asks for a change, and on what ground.
+    """The author and the preconditions of a contract change.
 
     Attributes:
-        operator: Who asks.
-        change_id: Identifies the change over repeats; empty for a new one.
-        if_version: The version that it changes; None for a new contract.
+        operator: The name of the operator who makes the change.
+        change_id: The idempotency key, which stays the same when the request
+            is repeated; empty to have one generated.
+        if_version: The contract version that the change is based on; None to
+            create a contract.
     """
 
     operator: str
@@ -78,17 +85,18 @@
         self._node = node
 
     def show(self, customer: str) -> decisions.Contract:
-        """Returns the contract that this node honours.
+        """Returns the contract that this node currently applies.
 
         Raises:
-            ApiError: There is none.
+            ApiError: The customer has no contract, or this node's contracts
+                may be outdated.
         """
         book = self._node.contracts
         fut = runtime.call_on(
             self._node.loop, lambda: decisions.completed(book.get(customer))
         )
         try:
-            return fut.result(WAIT_S)
+            return fut.result(RESULT_TIMEOUT_S)
         except decisions.UnknownCustomerError as exc:
             if not self._node.directory_sync.is_current:
                 raise ApiError(
@@ -98,25 +106,25 @@
 
     def history(self, customer: str) -> list[typing.Any]:
         """Returns the audit records of a customer's contract, newest first."""
-        prefix = _audits.prefix_of(customer)
+        prefix = _audits.audit_prefix(customer)
         entries = self._run(lambda: self._list(prefix))
         records = [json.loads(e.value) for e in entries]
         records.sort(key=lambda r: int(r["version"]), reverse=True)
-        return records[:MAX_HISTORY]
+        return records[:MAX_HISTORY_RECORDS]
 
     def put(
         self, customer: str, body: bytes, change: Change
     ) -> decisions.Contract:
-        """Creates or amends a contract; returns what is in force now.
+        """Creates or replaces a contract and returns the stored version.
 
         Raises:
-            ApiError: The document is wrong, another change came first, or
-                the outcome could not be learned.
+            ApiError: The document is invalid, a concurrent change won, or the
+                outcome could not be determined.
         """
         return self._run(lambda: self._change(customer, body, change))
 
     def delete(self, customer: str, change: Change) -> decisions.Contract:
-        """Replaces a contract by a tombstone.
+        """Deletes a contract by writing a tombstone in its place.
 
         Raises:
             ApiError: As for `put`.
@@ -126,7 +134,7 @@
     def _run(self, flow: "typing.Callable[[], decisions.Flow[T]]") -> T:
         fut = runtime.call_on(self._node.loop, lambda: decisions.start(flow()))
         try:
-            return fut.result(WAIT_S)
+            return fut.result(RESULT_TIMEOUT_S)
         except decisions.StoreUnavailableError as exc:
             raise ApiError(503, "store_unavailable", str(exc)) from exc
         except TimeoutError as exc:
@@ -147,8 +155,8 @@
         revision = decisions.Revision(self._node.store.era)
         if entry is not None:
             revision = entry.revision
-        # The store may have come back from a copy that lacks what an operator
-        # was told is in force.
+        # The store may have been restored from a backup that lacks a change
+        # already confirmed to an operator, so this node's copy counts too.
         newest = decisions.newest(entry, self._node.directory.get(key))
         if newest is not None:
             current = decisions.contract_from_json(json.loads(newest.value))
@@ -156,12 +164,12 @@
         if current is not None and current.change_id == change_id:
             return current
         _check_version(current, change)
-        wanted = _wanted(customer, body, current, change, change_id)
-        value = json.dumps(decisions.unstructure(wanted)).encode()
+        updated = _next_version(customer, body, current, change, change_id)
+        value = json.dumps(decisions.unstructure(updated)).encode()
         written = yield from self._write(key, value, revision, change_id)
         self._node.directory_sync.publish([written])
-        yield from self._audit(wanted)
-        return wanted
+        yield from self._audit(updated)
+        return updated
 
     def _write(
         self,
@@ -177,14 +185,20 @@
             return (yield from self._read_back(key, change_id, revision))
         if entry is None:
             found = yield store.get(key)
-            raise _conflict(found)
+            raise _version_conflict(found)
         return typing.cast(decisions.StoreEntry, entry)
 
     def _read_back(
         self, key: str, change_id: str, revision: decisions.Revision
     ) -> "decisions.Flow[decisions.StoreEntry]":
-        """Learns by the change's id whether a write took effect."""
-        for _ in range(READ_BACK_TRIES):
+        """Determines by the change id whether a write took effect.
+
+        Called after a write whose reply was lost.
+
+        Raises:
+            ApiError: A concurrent change won, or the outcome stays unknown.
+        """
+        for _ in range(MAX_READ_BACKS):
             yield decisions.sleep(self._node.loop, READ_BACK_PAUSE_S)
             try:
                 entry = yield self._node.store.get(key)
@@ -195,7 +209,7 @@
                 if found.change_id == change_id:
                     return typing.cast(decisions.StoreEntry, entry)
                 if entry.revision.era == revision.era:
-                    raise _conflict(entry)
+                    raise _version_conflict(entry)
         raise ApiError(
             504,
             "unknown",
@@ -203,8 +217,8 @@
         )
 
     def _audit(self, contract: decisions.Contract) -> "decisions.Flow[None]":
-        """Keeps who changed what; a failure does not undo the change."""
-        record = _audits.record_of(contract)
+        """Writes the audit record; a failure does not undo the change."""
+        record = _audits.audit_record(contract)
         new = decisions.Revision(self._node.store.era)
         try:
             yield self._node.store.put_if(record.key, record.value, new)
@@ -224,7 +238,7 @@
         )
 
 
-def _conflict(entry: decisions.StoreEntry | None) -> ApiError:
+def _version_conflict(entry: decisions.StoreEntry | None) -> ApiError:
     version: object = "unknown"
     if entry is not None:
         version = json.loads(entry.value).get("version")
@@ -233,22 +247,26 @@
     )
 
 
-def _wanted(
+def _next_version(
     customer: str,
     body: bytes | None,
     current: decisions.Contract | None,
     change: Change,
     change_id: str,
 ) -> decisions.Contract:
-    """Returns the contract as it is to be stored."""
+    """Returns the contract version to store; `body` is None to delete.
+
+    Raises:
+        ApiError: The document is invalid, or there is nothing to delete.
+    """
     raw: dict[str, typing.Any]
     if body is None:
         if current is None:
             raise ApiError(404, "no_contract", customer)
         raw = decisions.unstructure(attrs.evolve(current, deleted=True))
     else:
-        raw = _document(body)
-        raw["logins"] = _logins(raw.get("logins", []), current)
+        raw = _parse_document(body)
+        raw["logins"] = _parse_logins(raw.get("logins", []), current)
         raw["deleted"] = False
     raw["customer"] = customer
     raw["version"] = (current.version if current else 0) + 1
@@ -262,7 +280,7 @@
         raise ApiError(422, "invalid_contract", customer, mistakes) from exc
 
 
-def _document(body: bytes) -> dict[str, typing.Any]:
+def _parse_document(body: bytes) -> dict[str, typing.Any]:
     try:
         raw = json.loads(body)
     except ValueError as exc:
@@ -272,13 +290,13 @@
     return raw
 
 
-def _logins(
+def _parse_logins(
     raw: typing.Any, current: decisions.Contract | None
 ) -> list[typing.Any]:
-    """Returns logins as stored: passwords become what checks them.
+    """Returns logins in stored form, with verifiers instead of passwords.
 
-    A login is given as a name alone, to keep the known one, or as an object
-    with a name and a password.
+    Each login is given either as a name, which keeps the existing login, or
+    as an object with a name and a new password.
     """
     if not isinstance(raw, list):
         raise ApiError(422, "invalid_contract", "logins: expected a list")
--- a/packages/node/src/ferry_node/_controllers.py
+++ b/packages/node/src/ferry_node/_controllers.py
@@ -1,4 +1,8 @@
-"""Controllers that turn what a node knows into what it does."""
+"""Controllers that react to changes of a node's blackboard.
+
+They decide which members the node serves and whether it reads the store, and
+start and stop the services accordingly.
+"""
 
 from collections.abc import Callable
 import itertools
@@ -21,7 +25,7 @@
 
 
 class DirectoryReader:
-    """Turns entries of the directory into databases, records, contracts."""
+    """Parses directory entries into databases, records and contracts."""
 
     def __init__(
         self, board: decisions.Blackboard, contracts: decisions.ContractBook
@@ -29,16 +33,16 @@
         self._board = board
         self._contracts = contracts
 
-    def take(self, entry: decisions.StoreEntry) -> None:
-        """Takes an entry in; one that cannot be read changes nothing."""
+    def apply(self, entry: decisions.StoreEntry) -> None:
+        """Applies an entry; one that cannot be parsed is logged and ignored."""
         try:
-            self._take(entry)
+            self._apply(entry)
         except (ValueError, decisions.InvalidDocumentError) as exc:
             logging.error(
                 "event=entry_unreadable key=%s detail=%s", entry.key, exc
             )
 
-    def _take(self, entry: decisions.StoreEntry) -> None:
+    def _apply(self, entry: decisions.StoreEntry) -> None:
         raw = json.loads(entry.value)
         if entry.key.startswith(decisions.CONTRACT_PREFIX):
             self._contracts.merge(decisions.contract_from_json(raw))
@@ -58,7 +62,7 @@
 
 
 class PlacementController:
-    """Computes which members this node serves."""
+    """Determines which members this node serves."""
 
     reads: tuple[decisions.BoardKey[typing.Any], ...] = (
         _board.NODES,
@@ -70,7 +74,7 @@
         self._node = node
 
     def run(self, board: decisions.BoardView) -> None:
-        """Writes the members for which this node scores highest."""
+        """Writes the members for which this node has the highest score."""
         nodes = board.read(_board.NODES)
         served = set()
         for database in board.read(_board.DATABASES).values():
@@ -82,7 +86,7 @@
 
 
 class StoreReaderController:
-    """Decides whether this node asks the store."""
+    """Determines whether this node reads the store."""
 
     reads: tuple[decisions.BoardKey[typing.Any], ...] = (_board.NODES,)
     writes: tuple[decisions.BoardKey[typing.Any], ...] = (_board.STORE_READER,)
@@ -91,7 +95,10 @@
         self._cfg = cfg
 
     def run(self, board: decisions.BoardView) -> None:
-        """Writes whether this node is one of its data centre's readers."""
+        """Writes whether this node is a store reader of its data centre.
+
+        While no reader is known, this node reads the store itself.
+        """
         nodes = board.read(_board.NODES)
         readers = decisions.store_readers(
             self._cfg.data_centre, nodes, self._cfg.store_readers
@@ -101,7 +108,7 @@
 
 
 class RecordController:
-    """Tells the entry side of each record that has changed."""
+    """Reports each database whose record has changed."""
 
     reads: tuple[decisions.BoardKey[typing.Any], ...] = (_board.RECORDS,)
     writes: tuple[decisions.BoardKey[typing.Any], ...] = ()
@@ -111,7 +118,7 @@
         self._known: dict[str, decisions.Record] = {}
 
     def run(self, board: decisions.BoardView) -> None:
-        """Reports the databases whose records are new."""
+        """Calls `notify` with the name of each database with a new record."""
         records = board.read(_board.RECORDS)
         known, self._known = self._known, records
         for name, record in records.items():
@@ -120,7 +127,14 @@
 
 
 class ServiceController:
-    """Starts, configures and ends the services of the members served."""
+    """Starts, configures and stops the services of the members served.
+
+    Attributes:
+        services: The running services, by database and member.
+        retired: Services of members that this node no longer serves, whose
+            work in progress is still being completed.
+        watches: The watches of the databases concerned, by name.
+    """
 
     reads: tuple[decisions.BoardKey[typing.Any], ...] = (
         _board.SERVED,
@@ -143,10 +157,10 @@
         self._cfg = cfg
         self._contracts = contracts
         self._ctx = ctx
-        self._numbers = itertools.count(1)
+        self._channel_numbers = itertools.count(1)
 
     def run(self, board: decisions.BoardView) -> None:
-        """Brings services and watches in line with the blackboard."""
+        """Reconciles services and watches with the blackboard."""
         served = board.read(_board.SERVED)
         databases = board.read(_board.DATABASES)
         records = board.read(_board.RECORDS)
@@ -157,53 +171,56 @@
         for name in [n for n in self.watches if n not in wanted]:
             self.watches.pop(name).close()
         for name, member in served:
-            watch = self._watch_of(databases[name], records.get(name))
+            watch = self._get_or_start_watch(databases[name], records.get(name))
             record = records.get(name)
             if record is not None and record.newer_than(watch.record):
                 watch.note_record(record)
-            self._service_of(watch, member).configure()
+            self._get_or_start_service(watch, member).configure()
 
     def _retire(self, key: tuple[str, str]) -> None:
-        """Gives a member up; what is under way on it goes on for a while."""
+        """Stops serving a member.
+
+        Work in progress may continue for up to `stop_s` seconds.
+        """
         service = self.services.pop(key)
         self.retired.add(service)
         service.ownership.release()
         deadline = self._loop.now() + self._cfg.policy.stop_s
 
-        def end() -> None:
+        def close_when_idle() -> None:
             if service.busy and self._loop.now() < deadline:
-                self._loop.after(RETIRE_POLL_S, end)
+                self._loop.after(RETIRE_POLL_S, close_when_idle)
                 return
             self.retired.discard(service)
             service.close()
 
-        self._loop.after(RETIRE_POLL_S, end)
+        self._loop.after(RETIRE_POLL_S, close_when_idle)
 
     def drop_channel(self, number: int) -> None:
-        """Rolls back an open transaction, wherever it is."""
+        """Rolls back an open transaction, on whichever service holds it."""
         for service in [*self.services.values(), *self.retired]:
             service.drop(number)
 
     def cancel(self, cancel_key: int) -> None:
-        """Asks the endpoint to stop a batch, wherever it runs."""
+        """Asks the endpoint to cancel a batch, on whichever service runs it."""
         for service in [*self.services.values(), *self.retired]:
             service.cancel(cancel_key)
 
-    def holder(self, channel: int) -> _serving.MemberService | None:
-        """Returns the service that holds an open transaction."""
+    def find_holder(self, channel: int) -> _serving.MemberService | None:
+        """Returns the service that holds an open transaction, if any."""
         for service in [*self.services.values(), *self.retired]:
             if channel in service.channels:
                 return service
         return None
 
     def close(self) -> None:
-        """Ends all services and watches."""
+        """Stops all services and watches."""
         for service in [*self.services.values(), *self.retired]:
             service.close()
         for watch in self.watches.values():
             watch.close()
 
-    def _watch_of(
+    def _get_or_start_watch(
         self, database: decisions.Database, record: decisions.Record | None
     ) -> decisions.DatabaseWatch:
         watch = self.watches.get(database.name)
@@ -219,7 +236,7 @@
             self.watches[database.name] = watch
         return watch
 
-    def _service_of(
+    def _get_or_start_service(
         self, watch: decisions.DatabaseWatch, name: str
     ) -> _serving.MemberService:
         key = (watch.database.name, name)
@@ -232,7 +249,7 @@
                 self._contracts,
                 self._cfg,
                 self._connector(watch.database, name),
-                self._numbers,
+                self._channel_numbers,
             )
             self.services[key] = service
         return service
--- a/packages/node/src/ferry_node/_main.py
+++ b/packages/node/src/ferry_node/_main.py
@@ -12,12 +12,13 @@
 from ferry_node import _node
 from ferry_node import _settings
 
-EXIT_SETTINGS = 2
-EXIT_CUT = 3
+# The process's exit codes.
+EXIT_INVALID_SETTINGS = 2
+EXIT_WORK_CUT_OFF = 3
 
 
 def _load(path: str) -> _settings.Settings:
-    """Returns the settings, or ends the process with every mistake shown."""
+    """Returns the settings, or prints every mistake and exits."""
     try:
         return _settings.settings_from_file(path)
     except _settings.SettingsUnreadableError as exc:
@@ -25,7 +26,7 @@
     except decisions.InvalidDocumentError as exc:
         for mistake in exc.exceptions:
             click.echo(f"{path}: {mistake}", err=True)
-    sys.exit(EXIT_SETTINGS)
+    sys.exit(EXIT_INVALID_SETTINGS)
 
 
 @click.group()
@@ -61,38 +62,45 @@
     )
     loop.run()
     node.close()
-    sys.exit(EXIT_CUT if stopper.cut else 0)
+    sys.exit(EXIT_WORK_CUT_OFF if stopper.cut_off else 0)
 
 
 class _Stopper:
-    """Turns the first signal into a planned stop and the second into an end."""
+    """Stops the node gracefully on the first signal, at once on the second.
+
+    Attributes:
+        cut_off: The number of batches and transactions that the stop cut off.
+    """
 
     def __init__(self, loop: runtime.EventLoop, node: _node.Node) -> None:
         self._loop = loop
         self._node = node
         self._signals = 0
-        self.cut = 0
+        self.cut_off = 0
 
     def on_signal(self, *_: object) -> None:
-        """Counts a signal."""
+        """Handles a termination signal.
+
+        Runs as a signal handler, so the work is left to the event loop.
+        """
         self._signals += 1
         if self._signals == 1:
-            self._loop.call_soon(self._begin)
+            self._loop.call_soon(self._stop_gracefully)
             os.write(1, b"stopping\n")
         else:
-            self._loop.call_soon(self._end_now)
+            self._loop.call_soon(self._stop_now)
 
-    def _begin(self) -> None:
+    def _stop_gracefully(self) -> None:
         self._node.stop().add_done_callback(
             lambda fut: self._finish(fut.result())
         )
 
-    def _end_now(self) -> None:
+    def _stop_now(self) -> None:
         self._finish(self._node.busy)
 
-    def _finish(self, cut: int) -> None:
-        self.cut = cut
-        logging.info("event=stopped cut_off=%d", cut)
+    def _finish(self, cut_off: int) -> None:
+        self.cut_off = cut_off
+        logging.info("event=stopped cut_off=%d", cut_off)
         self._loop.stop()
 
 
--- a/packages/node/src/ferry_node/_messages.py
+++ b/packages/node/src/ferry_node/_messages.py
@@ -1,59 +1,60 @@
-"""Messages between nodes. `_codec` carries them over the wire."""
+"""Messages between nodes. `_codec` defines their encoding."""
 
 import typing
 
 import attrs
 
-M = typing.TypeVar("M")
+MessageT = typing.TypeVar("M")
 CODES: dict[int, type] = {}
 CODE_OF: dict[type, int] = {}
 
 
-def _message(code: int) -> "typing.Callable[[type[M]], type[M]]":
-    def add(cls: type[M]) -> type[M]:
+def _register(code: int) -> "typing.Callable[[type[MessageT]], type[MessageT]]":
+    def register(cls: type[MessageT]) -> type[MessageT]:
         CODES[code] = cls
         CODE_OF[cls] = code
         return cls
 
-    return add
+    return register
 
 
-@_message(1)
+@_register(1)
 @attrs.frozen(slots=True)
 class Hello:
-    """The first message of a stream.
+    """Introduces the sender; the first message in each direction.
 
     Attributes:
-        node: The sender.
-        data_centre: Where it runs.
+        node: The sender's name.
+        data_centre: The sender's data centre.
     """
 
     node: str
     data_centre: str
 
 
-@_message(2)
+@_register(2)
 @attrs.frozen(slots=True)
 class ExecuteRequest:
     """Asks the serving node of a member to run a batch.
 
     Attributes:
-        customer: In whose name.
-        database: The database.
-        member: The member that is to run it.
+        customer: The customer on whose behalf the batch runs.
+        database: The name of the database.
+        member: The name of the member that is to run the batch.
         as_primary: Whether the member has to be the primary.
-        read: Whether all of it is believed to read only.
-        begin: Whether it opens a transaction.
-        may_end: Whether it may commit; if not, a transaction that is lost in
-            the middle of it did not run.
-        channel: The open transaction that it belongs to; 0 for none.
-        floor: The position that a read must show, as text; empty for none.
-        staleness_s: Greatest age that a read accepts, in seconds.
-        budget_s: Time left until the caller's deadline, in seconds.
-        idempotency_key: The key of a write; empty for none.
-        session: The key under which the session's writes are remembered.
-        cancel_key: Names the batch in a CancelBatch; 0 for none.
-        payload: What is sent to the endpoint.
+        read: Whether the whole batch is classified as read-only.
+        begin: Whether the batch opens a transaction.
+        may_end: Whether the batch may commit. If not, a transaction lost
+            during the batch certainly had no effect.
+        channel: The open transaction that the batch belongs to; 0 for none.
+        floor: The minimum position that a read must reflect, as text; empty
+            for none.
+        staleness_s: The maximum staleness that a read accepts, in seconds.
+        budget_s: The time left until the caller's deadline, in seconds.
+        idempotency_key: The idempotency key of a write; empty for none.
+        session: The key under which the session's last write is tracked.
+        cancel_key: Identifies the batch in a `CancelBatch`; 0 for none.
+        payload: The bytes to send to the endpoint.
         trace: The trace context; empty when tracing is off.
     """
 
@@ -75,31 +76,31 @@
     trace: str = ""
 
 
-@_message(3)
+@_register(3)
 @attrs.frozen(slots=True)
 class AnswerPart:
-    """A part of a long answer.
+    """A part of a long reply to an `ExecuteRequest`.
 
     Attributes:
-        data: Whole frames of the endpoint's answer.
+        data: Complete protocol frames from the endpoint.
     """
 
     data: bytes
 
 
-@_message(4)
+@_register(4)
 @attrs.frozen(slots=True)
 class ExecuteReply:
-    """The end of an answer, or why there is none.
+    """Ends the reply to an `ExecuteRequest`, or reports its failure.
 
     Attributes:
-        reason: Name of the failure's reason; empty when the batch ran.
-        detail: Words for a reader of logs.
-        data: The last frames of the answer, ReadyForQuery included.
-        status: The transaction status after it.
-        position: The position that the answer shows, as text.
-        channel: The transaction that is open after it; 0 for none.
-        sqlstate: The code of the endpoint's error; empty without one.
+        reason: The name of the failure's reason; empty when the batch ran.
+        detail: Details of the failure for logs.
+        data: The last frames of the result, including `ReadyForQuery`.
+        status: The transaction status after the batch.
+        position: The position that the result reflects, as text.
+        channel: The transaction that is open after the batch; 0 for none.
+        sqlstate: The SQLSTATE of the endpoint's error; empty without one.
     """
 
     reason: str = ""
@@ -111,10 +112,10 @@
     sqlstate: str = ""
 
 
-@_message(5)
+@_register(5)
 @attrs.frozen(slots=True)
 class CloseChannel:
-    """Rolls an open transaction back: its caller is gone.
+    """Rolls back an open transaction whose caller has disconnected.
 
     Attributes:
         channel: The transaction.
@@ -123,41 +124,41 @@
     channel: int
 
 
-@_message(6)
+@_register(6)
 @attrs.frozen(slots=True)
 class CancelBatch:
-    """Asks the serving node to stop a batch that is under way.
+    """Asks the serving node to cancel a running batch.
 
     Attributes:
-        cancel_key: The key of its ExecuteRequest.
+        cancel_key: The `cancel_key` of the batch's `ExecuteRequest`.
     """
 
     cancel_key: int
 
 
-@_message(17)
+@_register(17)
 @attrs.frozen(slots=True)
 class CancelCaller:
-    """Asks a caller's entry node to stop what the caller runs.
+    """Asks a caller's entry node to cancel the caller's running batch.
 
     Attributes:
-        process_id: The number of the caller's connection.
-        secret: Its secret.
+        process_id: The process id of the caller's connection.
+        secret: The secret that authenticates the cancellation.
     """
 
     process_id: int
     secret: bytes
 
 
-@_message(7)
+@_register(7)
 @attrs.frozen(slots=True)
 class OpinionRequest:
-    """Asks whether a node finds a primary gone.
+    """Asks whether a node suspects that a primary has failed.
 
     Attributes:
-        database: The database.
-        member: The primary.
-        term: Its term.
+        database: The name of the database.
+        member: The name of the primary.
+        term: The primary's term.
     """
 
     database: str
@@ -165,41 +166,46 @@
     term: int
 
 
-@_message(8)
+@_register(8)
 @attrs.frozen(slots=True)
 class OpinionReply:
-    """Whether a node finds a primary gone.
+    """Tells whether a node suspects that a primary has failed.
 
     Attributes:
-        suspects: Its opinion.
-        data_centres: The data centres for which it can speak.
+        suspects: Whether it suspects the primary.
+        data_centres: The data centres from which the primary appears failed.
     """
 
     suspects: bool
     data_centres: list[str]
 
 
-@_message(9)
+@_register(9)
 @attrs.frozen(slots=True)
 class EntriesPush:
-    """Entries of the store, newer than what the receiver may know.
+    """Store entries that may be newer than those of the receiver.
 
     Attributes:
-        entries: Rows of a key, a value, an era and a number.
+        entries: Rows of key, value, era and number.
     """
 
     entries: list[list[typing.Any]]
 
 
-@_message(10)
+@_register(10)
 @attrs.frozen(slots=True)
 class SyncRequest:
-    """Asks for entries that are newer than the sender's.
+    """Asks for store entries that are newer than the sender's.
+
+    The first request carries the digest only. If the digests differ, a second
+    request carries the versions too.
 
     Attributes:
-        digest: The sender's digest; equal digests need no more.
-        versions: How new the sender's entries are, by key: rows of an era, a
-            number, and the two counts of a rank; empty at the first ask.
+        digest: The digest of the sender's directory. With equal digests there
+            is nothing to exchange.
+        versions: The versions of the sender's entries, by key, as rows of era
+            and number of the revision and count and step of the rank; empty
+            in the first request.
         full: Whether `versions` is filled in.
     """
 
@@ -208,15 +214,16 @@
     full: bool
 
 
-@_message(11)
+@_register(11)
 @attrs.frozen(slots=True)
 class SyncReply:
-    """The answer to a SyncRequest.
+    """Answers a `SyncRequest`.
 
     Attributes:
         differs: Whether the digests differ.
-        entries: Rows of a key, a value, an era and a number.
-        versions: How new the answering node's entries are, if they differ.
+        entries: The newer entries, as rows of key, value, era and number.
+        versions: The versions of the responding node's entries; empty unless
+            the request was a full one and the digests differ.
     """
 
     differs: bool
@@ -224,27 +231,27 @@
     versions: dict[str, list[int]]
 
 
-@_message(12)
+@_register(12)
 @attrs.frozen(slots=True)
 class Ping:
-    """Asks a peer for a sign of life on this stream."""
+    """Asks a peer to show that it is alive on this stream."""
 
 
-@_message(13)
+@_register(13)
 @attrs.frozen(slots=True)
 class Pong:
-    """Answers a Ping."""
+    """Answers a `Ping`."""
 
 
-@_message(14)
+@_register(14)
 @attrs.frozen(slots=True)
 class PositionRequest:
-    """Asks for a position that shows all writes of a session so far.
+    """Asks for a position that covers all writes of a session so far.
 
     Attributes:
-        database: The database.
-        member: Its primary.
-        session: The key under which the session's writes are remembered.
+        database: The name of the database.
+        member: The name of its primary.
+        session: The key under which the session's last write is tracked.
     """
 
     database: str
@@ -252,26 +259,28 @@
     session: str
 
 
-@_message(15)
+@_register(15)
 @attrs.frozen(slots=True)
 class PositionReply:
-    """Answers a PositionRequest.
+    """Answers a `PositionRequest`.
 
     Attributes:
-        position: The position as text; empty where it could not be proved.
+        position: The position as text; empty if it could not be confirmed.
     """
 
     position: str
 
 
-@_message(16)
+@_register(16)
 @attrs.frozen(slots=True)
 class VmsPush:
-    """The platform's list, from one of the few nodes that read it.
+    """The platform's VM list, pushed by one of the nodes that fetch it.
 
     Attributes:
-        nodes: Live entry VMs: name, data centre, host, peer and probe port.
-        leaving: Names of leaving entry VMs, and `host:port` of endpoints.
+        nodes: The live entry VMs, as rows of name, data centre, host, peer
+            port and probe port.
+        leaving: The names of leaving entry VMs, and leaving endpoints as
+            `host:port`.
     """
 
     nodes: list[list[typing.Any]]
--- a/packages/node/src/ferry_node/_metrics.py
+++ b/packages/node/src/ferry_node/_metrics.py
@@ -1,18 +1,20 @@
-"""Metrics of a node: counters, and latencies by `hdrhistogram`."""
+"""Metrics of a node: counters and latency histograms."""
 
 import collections
 
 from hdrh import histogram
 
-LOWEST_US = 1
-HIGHEST_US = 60_000_000
-DIGITS = 2
+# The range and the precision of the latency histograms.
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 60_000_000
+SIGNIFICANT_DIGITS = 2
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
-MAX_CUSTOMERS = 2_000
+# Further customers get no latency histogram, which bounds the memory used.
+MAX_HISTOGRAMS = 2_000
 
 
 class Metrics:
-    """Counts and latencies since the start of the process."""
+    """Batch counts and latencies since the start of the process."""
 
     def __init__(self) -> None:
         self._outcomes: collections.Counter[tuple[str, str]] = (
@@ -21,25 +23,27 @@
         self._latency: dict[str, histogram.HdrHistogram] = {}
 
     def record(self, customer: str, seconds: float, outcome: str) -> None:
-        """Notes one batch of a customer."""
+        """Records the latency and the outcome of one batch."""
         self._outcomes[(customer, outcome)] += 1
         found = self._latency.get(customer)
         if found is None:
-            if len(self._latency) >= MAX_CUSTOMERS:
+            if len(self._latency) >= MAX_HISTOGRAMS:
                 return
-            found = histogram.HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+            found = histogram.HdrHistogram(
+                MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
+            )
             self._latency[customer] = found
-        found.record_value(max(LOWEST_US, int(seconds * 1e6)))
+        found.record_value(max(MIN_LATENCY_US, int(seconds * 1e6)))
 
     def count(self, outcome: str) -> int:
-        """Returns how many batches had an outcome."""
+        """Returns the number of batches with an outcome, over all customers."""
         return sum(n for (_, o), n in self._outcomes.items() if o == outcome)
 
     def render(self, gauges: dict[str, float]) -> str:
         """Returns all metrics in Prometheus's text format.
 
         Args:
-            gauges: Further values by metric name, labels included.
+            gauges: Additional values, by metric name with labels.
         """
         lines = ["# TYPE rosemaryferry_batches_total counter"]
         for (customer, outcome), count in sorted(self._outcomes.items()):
--- a/packages/node/src/ferry_node/_node.py
+++ b/packages/node/src/ferry_node/_node.py
@@ -1,4 +1,7 @@
-"""The daemon: every entry VM runs one node, and all nodes are alike."""
+"""The node, which runs as a daemon on every entry VM.
+
+All nodes have the same role; there is no coordinator among them.
+"""
 
 from collections.abc import Callable
 import itertools
@@ -29,11 +32,13 @@
 from ferry_node import _vms
 
 SECRET_BYTES = 32
-NODE_SHIFT = 20
+# The low bits of a caller's process id count the callers of one node; the
+# bits above are derived from the node's name.
+CALLER_ID_BITS = 20
 
 
 class Node:
-    """One node, built from its settings, on one loop."""
+    """Assembles and runs the components of one node on an event loop."""
 
     def __init__(
         self, loop: runtime.EventLoop, cfg: _settings.Settings
@@ -57,7 +62,7 @@
         self.peers = _peers.Peers(
             loop, hello, cfg.host, cfg.peer_port, self._peer_server.serve
         )
-        self.peers.on_stream_closed.append(self._peer_server.closed)
+        self.peers.on_stream_closed.append(self._peer_server.on_stream_closed)
         self.directory_sync = _directory_sync.DirectorySync(
             loop, cfg, self.board, self.directory, self.store, self.peers
         )
@@ -65,10 +70,10 @@
             loop,
             cfg,
             self.board,
-            _vms.HttpVmLists(loop, cfg.vm_list_url),
+            _vms.HttpVmListSource(loop, cfg.vm_list_url),
             self.peers,
         )
-        self.controller = self._controller()
+        self.controller = self._make_controller()
         self.dispatcher = _entry.Dispatcher(
             _entry.EntryContext(
                 timers=loop,
@@ -105,7 +110,7 @@
         )
         self.admin = _admin.AdminServer(self)
         self._subscribe()
-        loop.on_late(self._note_lateness)
+        loop.on_late(self._note_process_pause)
 
     @property
     def caller_port(self) -> int:
@@ -114,7 +119,7 @@
 
     @property
     def caller_count(self) -> int:
-        """Callers that are connected."""
+        """The number of connected callers."""
         return len(self._callers)
 
     def execute(
@@ -122,10 +127,15 @@
         req: _messages.ExecuteRequest,
         sink: Callable[[bytes], object] | None,
     ) -> "decisions.Future[_messages.ExecuteReply]":
-        """Runs a request for a member that this node serves."""
+        """Runs a request on a member that this node serves.
+
+        Args:
+            req: The request.
+            sink: Receives parts of a long result.
+        """
         service = self.controller.services.get((req.database, req.member))
         if req.channel:
-            service = self.controller.holder(req.channel)
+            service = self.controller.find_holder(req.channel)
         if service is None and req.channel:
             return decisions.completed(
                 _messages.ExecuteReply(reason=decisions.TRANSACTION_LOST.name)
@@ -142,14 +152,14 @@
     def position(
         self, req: _messages.PositionRequest
     ) -> "decisions.Future[_messages.PositionReply]":
-        """Returns a primary's proved position, if this node serves it."""
+        """Returns a primary's confirmed position, if this node serves it."""
         service = self.controller.services.get((req.database, req.member))
         return _serving.answer_position(service, req)
 
     def publish(self, record: decisions.Record) -> None:
-        """Takes a record in, and makes every node learn it."""
-        fut = decisions.start(self._publish(record))
-        fut.add_done_callback(_log_failure)
+        """Applies a new record here and distributes it to all nodes."""
+        fut = decisions.start(self._publish_entry(record))
+        fut.add_done_callback(_log_publish_failure)
         records = self.board.read(_board.RECORDS)
         if record.newer_than(records.get(record.database)):
             self.board.write(
@@ -157,7 +167,11 @@
             )
 
     def stop(self) -> "decisions.Future[int]":
-        """Begins a graceful shutdown; the future counts what was cut off."""
+        """Begins a graceful shutdown.
+
+        Returns:
+            A future of the number of batches and transactions cut off.
+        """
         self.stopping = True
         self._listener.close()
         for conn in list(self._callers.values()):
@@ -165,7 +179,7 @@
         return decisions.start(self._drain())
 
     def close(self) -> None:
-        """Ends the node at once."""
+        """Stops the node immediately."""
         for conn in list(self._callers.values()):
             conn.close()
         self._listener.close()
@@ -177,18 +191,18 @@
         self.store.close()
 
     def _drain(self) -> "decisions.Flow[int]":
-        """Hands members on, then waits for what is under way."""
-        end = self.loop.now() + self.cfg.policy.stop_s
+        """Releases the members, then waits for work in progress."""
+        deadline = self.loop.now() + self.cfg.policy.stop_s
         for service in list(self.controller.services.values()):
             yield service.ownership.release()
         self.membership.leave()
-        while self.busy and self.loop.now() < end:
+        while self.busy and self.loop.now() < deadline:
             yield decisions.sleep(self.loop, 0.02)
         return self.busy
 
     @property
     def busy(self) -> int:
-        """Batches and transactions under way."""
+        """The number of batches and transactions in progress."""
         callers = sum(c.busy for c in self._callers.values())
         services = [
             *self.controller.services.values(),
@@ -196,7 +210,7 @@
         ]
         return callers + sum(s.busy for s in services)
 
-    def _controller(self) -> _controllers.ServiceController:
+    def _make_controller(self) -> _controllers.ServiceController:
         ctx = decisions.WatchContext(
             timers=self.loop,
             node=self.cfg.node,
@@ -221,7 +235,7 @@
 
     def _subscribe(self) -> None:
         reader = _controllers.DirectoryReader(self.board, self.contracts)
-        self.directory.subscribe(reader.take)
+        self.directory.subscribe(reader.apply)
         self.board.subscribe(_controllers.PlacementController(self.cfg.node))
         self.board.subscribe(_controllers.StoreReaderController(self.cfg))
         self.board.subscribe(self.controller)
@@ -240,41 +254,51 @@
         )
 
     def cancel_own_caller(self, process_id: int, secret: bytes) -> bool:
-        """Stops what a caller of this node runs; returns whether it is one."""
+        """Cancels the running batch of a caller of this node.
+
+        Returns:
+            Whether a caller with this process id is connected here.
+        """
         conn = self._callers.get(process_id)
         if conn is not None:
             conn.cancel(secret)
         return conn is not None
 
     def _cancel_caller(self, process_id: int, secret: bytes) -> None:
-        """Stops what a caller runs; the balancer may send this anywhere."""
+        """Cancels a caller's running batch, on whichever node it is.
+
+        The load balancer may route a cancel request to any node.
+        """
         if self.cancel_own_caller(process_id, secret):
             return
         message = _messages.CancelCaller(process_id, secret)
         for node in self.board.read(_board.NODES):
             base = _process_id_base(node.name)
-            is_base = base == process_id >> NODE_SHIFT << NODE_SHIFT
-            if is_base and node.name != self.cfg.node:
+            is_in_range = base == process_id >> CALLER_ID_BITS << CALLER_ID_BITS
+            if is_in_range and node.name != self.cfg.node:
                 self.peers.tell(node, message)
 
     def _caller_closed(self, conn: _callers.CallerConn) -> None:
         self._callers.pop(conn.process_id, None)
 
-    def _note_lateness(self, late_s: float) -> None:
+    def _note_process_pause(self, pause_s: float) -> None:
         for watch in self.controller.watches.values():
-            watch.note_process_pause(late_s)
+            watch.note_process_pause(pause_s)
 
-    def _publish(self, record: decisions.Record) -> "decisions.Flow[None]":
-        """Reads the record's entry back, so that it spreads by revision."""
+    def _publish_entry(
+        self, record: decisions.Record
+    ) -> "decisions.Flow[None]":
+        """Reads the record's entry back to distribute it with its revision."""
         entry = yield self.store.get(decisions.record_key(record.database))
         if entry is not None:
             self.directory_sync.publish([entry])
 
 
 def _process_id_base(node: str) -> int:
-    """Returns the first process id of a node; others begin elsewhere."""
+    """Returns the first process id of a node's range, derived from its name."""
     return (
-        decisions.rendezvous_score("process-id", node) % (1 << 11) << NODE_SHIFT
+        decisions.rendezvous_score("process-id", node) % (1 << 11)
+        << CALLER_ID_BITS
     )
 
 
@@ -286,7 +310,7 @@
     return context
 
 
-def _log_failure(fut: "decisions.Future[None]") -> None:
+def _log_publish_failure(fut: "decisions.Future[None]") -> None:
     exc = fut.exception()
     if exc is not None:
         logging.warning("event=publish_failed detail=%r", exc)
--- a/packages/node/src/ferry_node/_observers.py
+++ b/packages/node/src/ferry_node/_observers.py
@@ -1,4 +1,4 @@
-"""The nodes that watch a database together, and what they think."""
+"""The nodes that observe a database, and their opinions of its primary."""
 
 from collections.abc import Callable
 import typing
@@ -15,13 +15,15 @@
 
 
 class Observers:
-    """The nodes that serve members of the same databases."""
+    """Consults the nodes that serve members of the same databases."""
 
     def __init__(self, node: "_node.Node") -> None:
         self._node = node
 
-    def _observers(self, database: decisions.Database) -> list[decisions.Node]:
-        """Returns the nodes that serve a database's members, once each."""
+    def _find_observers(
+        self, database: decisions.Database
+    ) -> list[decisions.Node]:
+        """Returns the distinct nodes that serve a database's members."""
         nodes = self._node.board.read(_board.NODES)
         found: dict[str, decisions.Node] = {}
         for member in database.members:
@@ -31,13 +33,18 @@
         return list(found.values())
 
     def rank(self, database: decisions.Database) -> int:
-        """Returns this node's turn; the primary's own node comes last."""
+        """Returns this node's place in the order of the observers.
+
+        The node that serves the primary comes last.
+        """
         record = self._node.board.read(_board.RECORDS).get(database.name)
         served = self._node.board.read(_board.SERVED)
         primary = record.primary if record else ""
         if (database.name, primary) in served:
             return len(database.members) - 1
-        ordered = decisions.ranked(database.name, self._observers(database))
+        ordered = decisions.ranked(
+            database.name, self._find_observers(database)
+        )
         names = [n.name for n in ordered]
         return (
             names.index(self._node.cfg.node)
@@ -52,7 +59,15 @@
         term: int,
         enough: Callable[[set[str]], bool],
     ) -> "decisions.Flow[set[str]]":
-        """Gathers the data centres that find a primary gone."""
+        """Collects the data centres that suspect a primary has failed.
+
+        Args:
+            database: The database.
+            member: The name of the primary.
+            term: The primary's term.
+            enough: Tells whether the data centres collected so far suffice,
+                so that the remaining replies need not be awaited.
+        """
         request = _messages.OpinionRequest(database.name, member, term)
         futs = [
             decisions.with_timeout(
@@ -60,7 +75,7 @@
                 OPINION_TIMEOUT_S,
                 self._node.peers.call(node, request),
             )
-            for node in self._observers(database)
+            for node in self._find_observers(database)
             if node.name != self._node.cfg.node
         ]
         settled = yield decisions.settle_all(
@@ -73,7 +88,7 @@
     settled: "list[decisions.Settled[_messages.OpinionReply]]",
 ) -> set[str]:
     votes: set[str] = set()
-    for each in settled:
-        if each.failure is None:
-            votes.update(each.result.data_centres)
+    for outcome in settled:
+        if outcome.failure is None:
+            votes.update(outcome.result.data_centres)
     return votes
--- a/packages/node/src/ferry_node/_peer_server.py
+++ b/packages/node/src/ferry_node/_peer_server.py
@@ -1,4 +1,4 @@
-"""Answers to what other nodes ask."""
+"""Server side of the messages between nodes."""
 
 import typing
 
@@ -13,7 +13,7 @@
 
 
 class PeerServer:
-    """Serves the requests of other nodes."""
+    """Handles the requests and one-way messages of other nodes."""
 
     def __init__(self, node: "_node.Node") -> None:
         self._node = node
@@ -22,7 +22,7 @@
     def serve(
         self, stream: _peers.PeerStream, envelope: _codec.Envelope
     ) -> None:
-        """Answers what other nodes ask."""
+        """Handles one message and replies where a reply is due."""
         correlation = envelope.correlation
         match envelope.message:
             case _messages.ExecuteRequest() as req:
@@ -44,7 +44,7 @@
                     _codec.unpack_entries(msg.entries)
                 )
             case _messages.VmsPush() as msg:
-                self._node.membership.take(msg)
+                self._node.membership.apply_push(msg)
             case _messages.PositionRequest() as msg:
                 self._node.position(msg).add_done_callback(
                     lambda f: stream.answer(correlation, f.result())
@@ -77,8 +77,8 @@
 
         self._node.execute(req, on_part).add_done_callback(reply)
 
-    def closed(self, stream: _peers.PeerStream) -> None:
-        """Rolls back the transactions of a node that is gone."""
+    def on_stream_closed(self, stream: _peers.PeerStream) -> None:
+        """Rolls back the transactions that belong to a closed stream."""
         if stream.refused:
             self._node.membership.note_refused(stream.node)
         for number in self._channels.pop(stream, set()):
--- a/packages/node/src/ferry_node/_restoring.py
+++ b/packages/node/src/ferry_node/_restoring.py
@@ -74,6 +74,6 @@
         logging.warning("event=restored key=%s era=%d", entry.key, era)
         if entry.key.startswith(decisions.CONTRACT_PREFIX):
             contract = decisions.contract_from_json(json.loads(entry.value))
-            record = _audits.record_of(contract)
+            record = _audits.audit_record(contract)
             new = decisions.Revision(era)
             yield self._store.put_if(record.key, record.value, new)
