--- a/packages/node/src/ferry_node/_entry.py
+++ b/packages/node/src/ferry_node/_entry.py
@@ -221,9 +221,7 @@
         for held in list(self._held[database]):
             decisions.resolve(held, None)
         late = list(self._under_way[database])
-        lost = _peers.PeerLostError(
-            "the primary was replaced", may_have_arrived=True
-        )
+        lost = _peers.PeerLostError("the primary was replaced", was_sent=True)
         self._ctx.timers.after(
             GIVE_UP_S, lambda: [decisions.reject(f, lost) for f in late]
         )
@@ -366,7 +364,7 @@
     req: _messages.ExecuteRequest, exc: _peers.PeerLostError
 ) -> decisions.Reason:
     """Returns what a lost stream to a serving node means for a request."""
-    if not exc.may_have_arrived:
+    if not exc.was_sent:
         return decisions.NO_SERVING_NODE
     if (req.begin or req.channel) and not req.may_end:
         return decisions.TRANSACTION_LOST
--- a/packages/node/src/ferry_node/_peers.py
+++ b/packages/node/src/ferry_node/_peers.py
@@ -28,9 +28,9 @@
         handed: Whether the request may have reached the peer.
     """
 
-    def __init__(self, detail: str, may_have_arrived: bool) -> None:
+    def __init__(self, detail: str, was_sent: bool) -> None:
         super().__init__(detail)
-        self.may_have_arrived = may_have_arrived
+        self.was_sent = was_sent
 
 
 @attrs.define(slots=True)
--- a/packages/standins/src/ferry_standins/_lab.py
+++ b/packages/standins/src/ferry_standins/_lab.py
@@ -194,7 +194,7 @@
         if fut.done():
             return
         if self.net.is_cut(centre, target.centre):
-            lost = _peers.PeerLostError("silent", may_have_arrived=True)
+            lost = _peers.PeerLostError("silent", was_sent=True)
             decisions.reject(fut, lost)
             return
         self.timers.after(PEER_LOSS_S, lambda: self._lose(centre, target, fut))
--- a/packages/standins/src/ferry_standins/_lab_node.py
+++ b/packages/standins/src/ferry_standins/_lab_node.py
@@ -176,7 +176,7 @@
         )
         out: decisions.Future[None] = decisions.Future()
         decisions.forward(alive, out)
-        lost = _peers.PeerLostError("shows no life", may_have_arrived=False)
+        lost = _peers.PeerLostError("shows no life", was_sent=False)
         lab.timers.after(CHECK_S, lambda: decisions.reject(out, lost))
         return out
 
--- a/packages/standins/src/ferry_standins/_swarm.py
+++ b/packages/standins/src/ferry_standins/_swarm.py
@@ -108,7 +108,7 @@
             )
 
         self.swarm.carry(self, node.name, answer)
-        lost = _peers.PeerLostError("lost", may_have_arrived=True)
+        lost = _peers.PeerLostError("lost", was_sent=True)
         self.timers.after(PEER_TIMEOUT_S, lambda: decisions.reject(fut, lost))
         return fut
 
