--- a/packages/node/src/ferry_node/_directory_sync.py
+++ b/packages/node/src/ferry_node/_directory_sync.py
@@ -1,10 +1,10 @@
-"""Spreading configuration and records from the few store readers to all.
+"""Distribution of configuration and records from store readers to all nodes.
 
-The readers of each data centre hold one watch each. What is new goes at once
-to every node of the reader's own data centre, and records that this node
-made itself to all nodes. Besides, each node compares digests with one random
-node now and then, which repairs whatever was missed, and is how a new VM
-learns everything while the store is down.
+Each store reader of a data centre watches the store. It pushes new entries at
+once to every node of its own data centre. A node pushes entries that it wrote
+itself to all nodes. In addition, each node periodically compares digests with
+one random node. This anti-entropy exchange repairs whatever a push missed, and
+it is how a new VM obtains all entries while the store is down.
 """
 
 import random
@@ -20,11 +20,12 @@
 from ferry_node import _restoring
 from ferry_node import _settings
 
-COMPARE_S = 2.0
+COMPARE_INTERVAL_S = 2.0
 COMPARE_TIMEOUT_S = 1.5
-CURRENT_S = 8.0  # Two comparisons, of which one may fail.
-STORE_REREAD_S = 5.0
-STORE_BACKOFF_LAST_S = 30.0
+# Long enough for two comparisons, one of which may fail.
+CURRENT_FOR_S = 8.0
+STORE_READ_INTERVAL_S = 5.0
+MAX_STORE_BACKOFF_S = 30.0
 PREFIXES = (
     decisions.CONTRACT_PREFIX,
     decisions.TOPOLOGY_PREFIX,
@@ -33,7 +34,11 @@
 
 
 class DirectorySync:
-    """Keeps this node's directory up to date, and others' with it."""
+    """Keeps the directories of this node and of its peers in sync.
+
+    Attributes:
+        store_reachable: Whether the store answered most recently.
+    """
 
     reads: tuple[decisions.BoardKey[typing.Any], ...] = (_board.STORE_READER,)
     writes: tuple[decisions.BoardKey[typing.Any], ...] = ()
@@ -62,16 +67,22 @@
         self.store_reachable = False
         self._confirmed_at = float("-inf")
         self._timer = decisions.PeriodicTimer(
-            timers, COMPARE_S * self._random.uniform(0.8, 1.2), self._compare
+            timers,
+            COMPARE_INTERVAL_S * self._random.uniform(0.8, 1.2),
+            self._compare,
+        )
+        self._read_timer = decisions.PeriodicTimer(
+            timers, 0.5, self._read_if_due
         )
-        self._read_timer = decisions.PeriodicTimer(timers, 0.5, self._reread)
 
     def run(self, _: decisions.BoardView) -> None:
-        """Starts or ends the watches when the reader's part changes."""
+        """Watches the store exactly while this node is a store reader."""
         is_reader = self._board.read(_board.STORE_READER)
         if is_reader and not self._watches:
             self._watches = [
-                self._store.watch(prefix, self._notified, self._note_restored)
+                self._store.watch(
+                    prefix, self._on_change, self._on_store_restored
+                )
                 for prefix in PREFIXES
             ]
             self._next_read = 0.0
@@ -82,34 +93,34 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether this node knew as much as another one a short while ago.
+        """Whether this node recently was in sync with another node.
 
-        What is missing from a directory that has not been compared may well
-        exist: nobody is refused for good by it.
+        An entry missing from a directory that has not been compared may well
+        exist, so nobody may be rejected permanently because of its absence.
         """
-        return self._timers.now() - self._confirmed_at < CURRENT_S
+        return self._timers.now() - self._confirmed_at < CURRENT_FOR_S
 
     def close(self) -> None:
-        """Ends timers and watches."""
+        """Stops the timers and watches."""
         self._timer.stop()
         self._read_timer.stop()
         for watch in self._watches:
             watch.cancel()
 
     def merge(self, entries: list[decisions.StoreEntry]) -> None:
-        """Takes in entries from anywhere; a reader passes on what is new."""
-        taken = self._directory.merge(entries)
+        """Merges entries from any source; a store reader pushes new ones."""
+        new = self._directory.merge(entries)
         is_reader = self._board.read(_board.STORE_READER)
-        if taken and is_reader:
-            self._push(taken, everywhere=False)
+        if new and is_reader:
+            self._push(new, everywhere=False)
 
     def publish(self, entries: list[decisions.StoreEntry]) -> None:
-        """Takes in entries that this node wrote, and tells every node."""
+        """Merges entries that this node wrote and pushes them to all nodes."""
         self._directory.merge(entries)
         self._push(entries, everywhere=True)
 
     def answer(self, req: _messages.SyncRequest) -> _messages.SyncReply:
-        """Answers another node's comparison."""
+        """Returns the reply to another node's comparison."""
         if req.digest == self._directory.digest:
             return _messages.SyncReply(False, [], {})
         if not req.full:
@@ -119,11 +130,11 @@
         own = _codec.pack_versions(self._directory.versions())
         return _messages.SyncReply(True, _codec.pack_entries(newer), own)
 
-    def _note_restored(self) -> None:
-        """Has the store read at once: it came back from a copy."""
+    def _on_store_restored(self) -> None:
+        """Schedules an immediate read: the store was restored from a backup."""
         self._next_read = 0.0
 
-    def _notified(self, entry: decisions.StoreEntry) -> None:
+    def _on_change(self, entry: decisions.StoreEntry) -> None:
         self.store_reachable = True
         self.merge([entry])
 
@@ -139,8 +150,8 @@
         nodes = self._board.read(_board.NODES)
         return [n for n in nodes if n.name != self._cfg.node]
 
-    def _reread(self) -> None:
-        """Reads the store now and then, with a pause that grows in outages."""
+    def _read_if_due(self) -> None:
+        """Reads the store if due; the interval grows during outages."""
         now = self._timers.now()
         if self._reading or now < self._next_read:
             return
@@ -154,13 +165,14 @@
         exc = fut.exception()
         self.store_reachable = exc is None
         self._failures = 0 if exc is None else self._failures + 1
-        pause = min(
-            STORE_BACKOFF_LAST_S, STORE_REREAD_S * 1.5 ** min(self._failures, 8)
+        interval_s = min(
+            MAX_STORE_BACKOFF_S,
+            STORE_READ_INTERVAL_S * 1.5 ** min(self._failures, 8),
         )
         if not len(self._directory):
-            pause = 0.5
-        self._next_read = self._timers.now() + pause * self._random.uniform(
-            0.5, 1.5
+            interval_s = 0.5
+        self._next_read = (
+            self._timers.now() + interval_s * self._random.uniform(0.5, 1.5)
         )
         if exc is not None:
             logging.warning("event=store_unavailable detail=%s", exc)
@@ -171,8 +183,9 @@
             entries = yield self._store.list(prefix)
             self.merge(entries)
             listed.update({e.key: e for e in entries})
-        self._restorer.look(listed)
-        # A store that came back from a copy may lack what peers know.
+        self._restorer.restore_lost(listed)
+        # A store that was restored from a backup may lack entries that peers
+        # have, so then only a comparison with a peer confirms the directory.
         if not self._store.era or not self._others():
             self._confirm()
 
@@ -184,17 +197,17 @@
         if others:
             node = self._random.choice(others)
             fut = decisions.start(self._compare_with(node))
-            fut.add_done_callback(_log_failure)
+            fut.add_done_callback(_log_compare_failure)
 
     def _compare_with(self, node: decisions.Node) -> "decisions.Flow[None]":
         digest = self._directory.digest
-        reply = yield self._ask(
+        reply = yield self._request_sync(
             node, _messages.SyncRequest(digest, {}, full=False)
         )
         if not reply.differs:
             self._confirm()
             return
-        reply = yield self._ask(
+        reply = yield self._request_sync(
             node,
             _messages.SyncRequest(
                 digest,
@@ -211,7 +224,7 @@
                 node, _messages.EntriesPush(_codec.pack_entries(newer))
             )
 
-    def _ask(
+    def _request_sync(
         self, node: decisions.Node, req: _messages.SyncRequest
     ) -> "decisions.Future[_messages.SyncReply]":
         return decisions.with_timeout(
@@ -219,7 +232,7 @@
         )
 
 
-def _log_failure(fut: "decisions.Future[None]") -> None:
+def _log_compare_failure(fut: "decisions.Future[None]") -> None:
     exc = fut.exception()
     if exc is not None:
         logging.debug("event=compare_failed detail=%r", exc)
--- a/packages/node/src/ferry_node/_messages.py
+++ b/packages/node/src/ferry_node/_messages.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-MessageT = typing.TypeVar("M")
+MessageT = typing.TypeVar("MessageT")
 CODES: dict[int, type] = {}
 CODE_OF: dict[type, int] = {}
 
@@ -173,7 +173,8 @@
 
     Attributes:
         suspects: Whether it suspects the primary.
-        data_centres: The data centres from which the primary appears failed.
+        data_centres: The data centres from which the primary appears to have
+            failed, as far as this node can tell.
     """
 
     suspects: bool
--- a/packages/node/src/ferry_node/_node.py
+++ b/packages/node/src/ferry_node/_node.py
@@ -1,6 +1,6 @@
 """The node, which runs as a daemon on every entry VM.
 
-All nodes have the same role; there is no coordinator among them.
+All nodes run the same code, and none has a fixed role.
 """
 
 from collections.abc import Callable
--- a/packages/node/src/ferry_node/_ownership.py
+++ b/packages/node/src/ferry_node/_ownership.py
@@ -1,9 +1,10 @@
 """Exclusive ownership of a member by the node that serves it.
 
-Nodes may disagree for a while about who serves a member. The member itself
-decides: it takes statements from its present owner only, so its slots and
-connections are given out in one place, and all writes to a primary pass
-through one node. That node then knows the last write of every session.
+Nodes may temporarily disagree about which of them serves a member. The member
+itself resolves this: it accepts statements from its current owner only.
+Therefore one node allocates the member's slots and connections, and all
+writes to a primary pass through one node, which knows the last write of every
+session.
 """
 
 import typing
@@ -11,17 +12,19 @@
 from absl import logging
 import ferry_decisions as decisions
 
-RETRY_S = 0.1
-RECLAIM_S = 1.0
-POLL_S = 0.003
+CHECK_INTERVAL_S = 0.1
+# The minimum time between losing a member and claiming it again.
+MIN_RECLAIM_DELAY_S = 1.0
+OWNED_POLL_S = 0.003
 
 
 class Ownership:
     """One node's ownership of one member.
 
     Attributes:
-        floors: The last write of each session, while the member is owned.
-        owned: Whether the member is owned, as far as is known.
+        floors: The last write of each session, tracked while the node owns
+            the member.
+        owned: Whether the node owns the member, as far as it knows.
     """
 
     def __init__(
@@ -40,16 +43,16 @@
         self._closed = False
         self._had_guests = False
         self._lost_at = float("-inf")
-        decisions.start(self._keep())
+        decisions.start(self._maintain())
 
     def note_lost(self) -> None:
-        """Takes in that the member has another owner."""
+        """Notes that the member has another owner."""
         if self.owned:
             self.owned = False
             self._lost_at = self._timers.now()
 
     def release(self) -> "decisions.Future[None]":
-        """Gives the member up; what is under way on it goes on."""
+        """Gives up the member; work in progress on it continues."""
         was_owned = self.owned
         self.close()
         if not was_owned:
@@ -70,40 +73,45 @@
             )
 
     def close(self) -> None:
-        """Stops claiming the member; the next owner takes it."""
+        """Stops claiming the member, so that another node can own it."""
         self._closed = True
         self.owned = False
 
     def wait_until_owned(self, deadline: float) -> "decisions.Flow[None]":
-        """Waits until the member is owned.
+        """Waits until the node owns the member.
+
+        Args:
+            deadline: The time at which to give up.
 
         Raises:
-            RequestFailedError: The deadline came; nothing was handed over.
+            RequestFailedError: The deadline passed or the node stopped
+                serving the member; nothing was sent to the member.
         """
         while not self.owned:
             if self._closed:
                 raise decisions.RequestFailedError(decisions.STOPPING)
             if self._timers.now() >= deadline:
                 raise decisions.RequestFailedError(decisions.NO_SERVING_NODE)
-            yield decisions.sleep(self._timers, POLL_S)
+            yield decisions.sleep(self._timers, OWNED_POLL_S)
 
-    def _keep(self) -> "decisions.Flow[None]":
-        """Owns the member for as long as this node serves it."""
+    def _maintain(self) -> "decisions.Flow[None]":
+        """Claims the member, and claims it again whenever it is lost."""
         while not self._closed:
             if not self.owned:
                 yield from self._claim()
-            yield decisions.sleep(self._timers, RETRY_S)
+            yield decisions.sleep(self._timers, CHECK_INTERVAL_S)
             status = self._watch.statuses.get(self._member.name)
             if status is not None and status.owner != self._owner:
                 self.note_lost()
 
     def _claim(self) -> "decisions.Flow[None]":
-        """Claims the member, not more than once in a while.
+        """Claims the member, after a delay if it was lost recently.
 
-        Where two nodes both hold that they serve it, each claim ends the
-        other's connections; the pause keeps that rare until they agree.
+        While two nodes both believe that they serve the member, each claim
+        closes the other's connections. The delay keeps this rare until the
+        nodes agree.
         """
-        wait_s = self._lost_at + RECLAIM_S - self._timers.now()
+        wait_s = self._lost_at + MIN_RECLAIM_DELAY_S - self._timers.now()
         if wait_s > 0:
             yield decisions.sleep(self._timers, wait_s)
         try:
@@ -130,12 +138,13 @@
     ) -> decisions.Position:
         """Returns a position that covers all writes of a session.
 
-        While guests are left, they may write too, and only the primary's last
-        position covers everything.
+        While connections of a previous owner ("guests") remain, they may
+        write too, and only the primary's latest position covers all writes.
 
         Args:
             session: The session's key.
-            status: The primary's status, asked for after the session's.
+            status: The primary's status, requested after the session's last
+                write.
         """
         if status.guests:
             self._had_guests = True
--- a/packages/node/src/ferry_node/_peers.py
+++ b/packages/node/src/ferry_node/_peers.py
@@ -1,4 +1,4 @@
-"""Streams between nodes: correlated requests and one-way messages."""
+"""Message streams between nodes, for requests and one-way messages."""
 
 from collections.abc import Callable
 import itertools
@@ -13,19 +13,21 @@
 from ferry_node import _messages
 from ferry_node import _probes
 
-USER_TIMEOUT_MS = 1_500
-PING_S = 0.3
-PING_TIMEOUT_S = 1.0
-CHECK_AFTER_S = 0.5
-CHECK_S = 0.4
+TCP_USER_TIMEOUT_MS = 1_500
+PING_INTERVAL_S = 0.3
+# A stream with pending requests fails after this much silence of the peer.
+MAX_SILENCE_S = 1.0
+# A peer that sent anything within this time counts as alive.
+RECENTLY_ALIVE_S = 0.5
+CHECK_TIMEOUT_S = 0.4
 IDLE_CLOSE_S = 120.0
 
 
 class PeerLostError(Exception):
-    """The stream to a peer ended before its answer.
+    """The stream to a peer failed before the reply arrived.
 
     Attributes:
-        handed: Whether the request may have reached the peer.
+        was_sent: Whether the request may have reached the peer.
     """
 
     def __init__(self, detail: str, was_sent: bool) -> None:
@@ -35,14 +37,27 @@
 
 @attrs.define(slots=True)
 class _Call:
-    """A request that waits for its answer."""
+    """A request that awaits its reply.
+
+    Attributes:
+        fut: Completed with the reply.
+        on_part: Receives parts of a long reply; None to ignore them.
+    """
 
     fut: "decisions.Future[_messages.Message]"
     on_part: Callable[[bytes], object] | None
 
 
 class PeerStream:
-    """One stream to another node."""
+    """A message stream to another node.
+
+    Attributes:
+        node: The name of the peer; empty until it is known.
+        used_at: When the stream last carried a request, in either direction.
+        closed: Whether the stream is closed.
+        refused: Whether the peer refused the connection.
+        on_closed: Callbacks for when the stream closes.
+    """
 
     def __init__(
         self,
@@ -57,20 +72,20 @@
         self._serve = serve
         self._decoder = _codec.MessageDecoder()
         self._calls: dict[int, _Call] = {}
-        self._numbers = itertools.count(1)
-        self._heard = loop.now()
+        self._correlation_ids = itertools.count(1)
+        self._silent_since = loop.now()
         self._open = opened
-        self._spoke = float("-inf")
+        self._received_at = float("-inf")
         self._checks: list[decisions.Future[None]] = []
         self.node = ""
-        self.used = loop.now()
+        self.used_at = loop.now()
         self.closed = False
         self.refused = False
         self.on_closed: list[Callable[[PeerStream], object]] = []
         stream.on_data = self._receive
         stream.on_closed = self._stream_closed
         stream.on_open = self._opened
-        stream.keep_alive(USER_TIMEOUT_MS)
+        stream.keep_alive(TCP_USER_TIMEOUT_MS)
         stream.send(_codec.encode(0, hello))
 
     def call(
@@ -78,46 +93,50 @@
         message: _messages.Message,
         on_part: Callable[[bytes], object] | None = None,
     ) -> "decisions.Future[_messages.Message]":
-        """Sends a request; returns the future of its answer.
+        """Sends a request and returns a future of its reply.
 
-        Fails with `PeerLostError` when the stream ends first.
+        The future fails with `PeerLostError` if the stream fails first.
         """
         fut: decisions.Future[_messages.Message] = decisions.Future()
         if self.closed:
             return decisions.failed(PeerLostError("closed before", False))
-        number = next(self._numbers)
-        self.used = self._loop.now()
-        self._calls[number] = _Call(fut, on_part)
-        self._stream.send(_codec.encode(number, message))
+        correlation = next(self._correlation_ids)
+        self.used_at = self._loop.now()
+        self._calls[correlation] = _Call(fut, on_part)
+        self._stream.send(_codec.encode(correlation, message))
         return fut
 
     def check(self) -> "decisions.Future[None]":
-        """Returns a future that is done once the peer has shown life.
+        """Returns a future that completes once the peer proves to be alive.
 
-        That is at once if it did so a short while ago. Fails with
-        `PeerLostError`, and nothing was handed over.
+        It completes at once if the peer sent something recently. Otherwise
+        the peer is pinged, and the future fails with `PeerLostError`, with
+        `was_sent` false, if nothing arrives in time.
         """
         if self.closed:
             return decisions.failed(PeerLostError("closed before", False))
-        if self._open and self._loop.now() - self._spoke < CHECK_AFTER_S:
+        if (
+            self._open
+            and self._loop.now() - self._received_at < RECENTLY_ALIVE_S
+        ):
             return decisions.completed(None)
         fut: decisions.Future[None] = decisions.Future()
         self._checks.append(fut)
         self.tell(_messages.Ping())
         lost = PeerLostError("shows no life", False)
-        self._loop.after(CHECK_S, lambda: decisions.reject(fut, lost))
+        self._loop.after(CHECK_TIMEOUT_S, lambda: decisions.reject(fut, lost))
         return fut
 
     def tell(self, message: _messages.Message) -> None:
-        """Sends a message that has no answer."""
+        """Sends a one-way message."""
         self._stream.send(_codec.encode(0, message))
 
     def answer(self, correlation: int, message: _messages.Message) -> None:
-        """Sends an answer, or a part of one."""
+        """Sends a reply, or a part of one."""
         self._stream.send(_codec.encode(correlation, message))
 
     def close(self) -> None:
-        """Closes the stream; what waits for an answer fails."""
+        """Closes the stream; pending requests fail."""
         self._fail("closed by this node")
 
     def _stream_closed(self, exc: runtime.StreamClosedError) -> None:
@@ -126,16 +145,16 @@
 
     def _opened(self) -> None:
         self._open = True
-        self._heard = self._loop.now()
+        self._silent_since = self._loop.now()
 
     def _receive(self, data: bytes) -> None:
-        self._heard = self._spoke = self._loop.now()
+        self._silent_since = self._received_at = self._loop.now()
         checks, self._checks = self._checks, []
         for check in checks:
             decisions.resolve(check, None)
         try:
             for envelope in self._decoder.feed(data):
-                self._take(envelope)
+                self._handle(envelope)
         except (
             _codec.PeerProtocolError,
             _probes.MalformedProbeError,
@@ -145,7 +164,7 @@
             )
             self._fail(str(exc))
 
-    def _take(self, envelope: _codec.Envelope) -> None:
+    def _handle(self, envelope: _codec.Envelope) -> None:
         message = envelope.message
         call = self._calls.get(envelope.correlation)
         match message:
@@ -168,18 +187,21 @@
                     del self._calls[envelope.correlation]
                     decisions.resolve(call.fut, message)
             case _:
-                self.used = self._loop.now()
+                self.used_at = self._loop.now()
                 self._serve(self, envelope)
 
     def tick(self) -> None:
-        """Finds a silent stream while an answer is owed."""
+        """Closes an idle stream, and one that is silent with replies pending.
+
+        Otherwise pings the peer while replies are pending.
+        """
         now = self._loop.now()
         if not self._calls:
-            self._heard = now
-            if now - self.used > IDLE_CLOSE_S:
+            self._silent_since = now
+            if now - self.used_at > IDLE_CLOSE_S:
                 self._fail("idle")
             return
-        if now - self._heard > PING_TIMEOUT_S:
+        if now - self._silent_since > MAX_SILENCE_S:
             self._fail("silent")
             return
         if self._open:
@@ -201,7 +223,11 @@
 
 
 class Peers:
-    """All streams of a node to the others."""
+    """Manages a node's streams to all other nodes.
+
+    Attributes:
+        on_stream_closed: Callbacks for when any of the streams closes.
+    """
 
     def __init__(
         self,
@@ -214,11 +240,11 @@
         self._loop = loop
         self._hello = hello
         self._serve = serve
-        self._out: dict[str, PeerStream] = {}
-        self._in: set[PeerStream] = set()
+        self._outgoing: dict[str, PeerStream] = {}
+        self._incoming: set[PeerStream] = set()
         self.on_stream_closed: list[Callable[[PeerStream], object]] = []
         self._listener = runtime.Listener(loop, host, port, self._accept)
-        self._ticker = decisions.PeriodicTimer(loop, PING_S, self.tick)
+        self._ticker = decisions.PeriodicTimer(loop, PING_INTERVAL_S, self.tick)
 
     @property
     def port(self) -> int:
@@ -231,11 +257,11 @@
         message: _messages.Message,
         on_part: Callable[[bytes], object] | None = None,
     ) -> "decisions.Future[typing.Any]":
-        """Sends a request to a node over its stream."""
+        """Sends a request to a node and returns a future of its reply."""
         return self.stream(node).call(message, on_part)
 
     def check(self, node: decisions.Node) -> "decisions.Future[None]":
-        """Returns a future that is done once a node has shown life."""
+        """Returns a future that completes once a node proves to be alive."""
         return self.stream(node).check()
 
     def tell(self, node: decisions.Node, message: _messages.Message) -> None:
@@ -243,38 +269,38 @@
         self.stream(node).tell(message)
 
     def stream(self, node: decisions.Node) -> PeerStream:
-        """Returns the stream to a node, connecting where there is none."""
-        stream = self._out.get(node.name)
+        """Returns the stream to a node; connects if there is none."""
+        stream = self._outgoing.get(node.name)
         if stream is None or stream.closed:
             raw = runtime.connect(self._loop, node.host, node.peer_port)
             stream = self._wrap(raw, opened=False)
             stream.node = node.name
-            self._out[node.name] = stream
+            self._outgoing[node.name] = stream
         return stream
 
     def tick(self) -> None:
-        """Looks after all streams; one timer costs less than one for each."""
-        for stream in [*self._out.values(), *self._in]:
+        """Checks all streams; one shared timer is cheaper than one each."""
+        for stream in [*self._outgoing.values(), *self._incoming]:
             stream.tick()
 
     def close(self) -> None:
         """Closes the listener and all streams."""
         self._ticker.stop()
         self._listener.close()
-        for stream in [*self._out.values(), *self._in]:
+        for stream in [*self._outgoing.values(), *self._incoming]:
             stream.close()
 
     def _accept(self, raw: runtime.Stream) -> None:
-        self._in.add(self._wrap(raw, opened=True))
+        self._incoming.add(self._wrap(raw, opened=True))
 
     def _wrap(self, raw: runtime.Stream, opened: bool) -> PeerStream:
         stream = PeerStream(self._loop, raw, self._hello, self._serve, opened)
-        stream.on_closed.append(self._forget)
+        stream.on_closed.append(self._remove)
         return stream
 
-    def _forget(self, stream: PeerStream) -> None:
-        self._in.discard(stream)
-        if self._out.get(stream.node) is stream:
-            del self._out[stream.node]
+    def _remove(self, stream: PeerStream) -> None:
+        self._incoming.discard(stream)
+        if self._outgoing.get(stream.node) is stream:
+            del self._outgoing[stream.node]
         for callback in self.on_stream_closed:
             callback(stream)
--- a/packages/node/src/ferry_node/_probes.py
+++ b/packages/node/src/ferry_node/_probes.py
@@ -1,4 +1,4 @@
-"""Membership probes over UDP, coded by `msgpack`."""
+"""Membership probes over UDP, encoded with `msgpack`."""
 
 import selectors
 import socket
@@ -10,19 +10,19 @@
 import msgpack
 
 VERSION = 1
-MAX_DATAGRAM = 8_192
-MAX_PER_EVENT = 64
+MAX_DATAGRAM_BYTES = 8_192
+MAX_DATAGRAMS_PER_EVENT = 64
 _PROBE = 1
 _ACK = 2
 _INDIRECT = 3
 
 
 class MalformedProbeError(Exception):
-    """A datagram that is no probe message."""
+    """A datagram or a node entry does not have the expected shape."""
 
 
 def pack_node(node: decisions.Node) -> list[typing.Any]:
-    """Returns a node as a list that `msgpack` takes."""
+    """Converts a node to a list that `msgpack` can encode."""
     return [
         node.name,
         node.data_centre,
@@ -33,10 +33,10 @@
 
 
 def unpack_node(raw: typing.Any) -> decisions.Node:
-    """Returns a node from such a list.
+    """Converts a list from `pack_node` back to a node.
 
     Raises:
-        MalformedProbeError: It has another form.
+        MalformedProbeError: The list has a different shape.
     """
     match raw:
         case [str(name), str(centre), str(host), int(peer), int(probe)]:
@@ -71,7 +71,7 @@
 
 
 def encode_probe(message: decisions.ProbeMessage) -> bytes:
-    """Returns the datagram of a message."""
+    """Encodes a message as a datagram."""
     sender = pack_node(message.sender)
     updates = _pack_updates(message.updates)
     row: list[typing.Any]
@@ -87,10 +87,10 @@
 
 
 def decode_probe(data: bytes) -> decisions.ProbeMessage:
-    """Returns the message of a datagram.
+    """Decodes a datagram.
 
     Raises:
-        MalformedProbeError: It is none.
+        MalformedProbeError: The datagram is not a probe message.
     """
     try:
         raw = msgpack.unpackb(data)
@@ -119,13 +119,18 @@
                 )
     except MalformedProbeError:
         raise
-    except Exception as exc:  # noqa: BLE001 - whatever the library raises
+    except Exception as exc:  # noqa: BLE001 - unpackb raises many types
         raise MalformedProbeError(repr(exc)) from exc
     raise MalformedProbeError("form")
 
 
 class ProbeSocket:
-    """Sends and receives probe messages."""
+    """Sends and receives probe messages.
+
+    Attributes:
+        port: The UDP port that the socket is bound to.
+        bytes_sent: The number of bytes sent since the start.
+    """
 
     def __init__(
         self,
@@ -146,7 +151,7 @@
     def send(
         self, node: decisions.Node, message: decisions.ProbeMessage
     ) -> None:
-        """Sends a message; the network may lose it."""
+        """Sends a message; delivery is not guaranteed."""
         data = encode_probe(message)
         self.bytes_sent += len(data)
         try:
@@ -155,14 +160,14 @@
             logging.debug("event=probe_not_sent detail=%s", exc)
 
     def close(self) -> None:
-        """Closes the socket."""
+        """Stops receiving and closes the socket."""
         self._loop.unregister(self._sock)
         self._sock.close()
 
     def _receive(self, _: int) -> None:
-        for _i in range(MAX_PER_EVENT):
+        for _i in range(MAX_DATAGRAMS_PER_EVENT):
             try:
-                data, _addr = self._sock.recvfrom(MAX_DATAGRAM)
+                data, _addr = self._sock.recvfrom(MAX_DATAGRAM_BYTES)
             except OSError:
                 return
             try:
--- a/packages/node/src/ferry_node/_restoring.py
+++ b/packages/node/src/ferry_node/_restoring.py
@@ -1,9 +1,9 @@
-"""Writing again what the store lost when it came back from a copy.
+"""Rewrites entries that the store lost when it was restored from a backup.
 
-Contracts that an operator was told are in force, and records of who leads,
-were written by nodes, and nobody but nodes can write them again. Every reader
-of the store looks; each waits for its own part of a while first, so that one
-writes and the others find it done.
+Contracts that were confirmed to an operator, and records of the primaries,
+were written by nodes, and only nodes can write them again. Every store reader
+checks for lost entries. Each then waits for a delay of its own, so that
+usually one reader writes them and the others find the work done.
 """
 
 import json
@@ -13,11 +13,13 @@
 
 from ferry_node import _audits
 
-SPREAD_S = 2.0  # Between 14 readers: longer than a read and a write take.
+# The delays of the readers lie within this time. With 14 readers, the average
+# gap between two of them is still longer than a read and a write take.
+MAX_DELAY_S = 2.0
 
 
 class Restorer:
-    """Compares what a node knows with what the store lists."""
+    """Compares a node's directory with the store and restores lost entries."""
 
     def __init__(
         self,
@@ -29,27 +31,30 @@
         self._timers = timers
         self._store = store
         self._directory = directory
-        self._delay_s = SPREAD_S * decisions.stagger_fraction("restore", node)
+        self._delay_s = MAX_DELAY_S * decisions.stagger_fraction(
+            "restore", node
+        )
         self._busy = False
 
-    def look(self, listed: dict[str, decisions.StoreEntry]) -> None:
-        """Begins to write what is lacking, unless that is under way.
+    def restore_lost(self, listed: dict[str, decisions.StoreEntry]) -> None:
+        """Starts to restore lost entries, unless that is in progress.
 
         Args:
-            listed: What the store holds of contracts, records and topology.
+            listed: The store's contracts, records and topology, by key.
         """
-        held = self._directory.entries()
-        lost = decisions.lost_entries(held, listed, self._store.era)
+        known = self._directory.entries()
+        lost = decisions.lost_entries(known, listed, self._store.era)
         if not lost or self._busy:
             return
         self._busy = True
         fut = decisions.start(self._restore(lost))
-        fut.add_done_callback(self._done)
+        fut.add_done_callback(self._restore_done)
 
-    def _done(self, fut: "decisions.Future[None]") -> None:
+    def _restore_done(self, fut: "decisions.Future[None]") -> None:
         self._busy = False
         exc = fut.exception()
-        if exc is not None:  # The next read of the store finds what is left.
+        # The next read of the store finds the entries that are still lost.
+        if exc is not None:
             logging.warning("event=restoring_failed detail=%s", exc)
 
     def _restore(
--- a/packages/node/src/ferry_node/_settings.py
+++ b/packages/node/src/ferry_node/_settings.py
@@ -1,4 +1,8 @@
-"""The settings file of a node: JSON with comments, checked as a whole."""
+"""Parsing and validation of a node's settings file.
+
+The format is JSON with comments. The file is validated as a whole, so that
+every mistake in it is reported at once.
+"""
 
 import ipaddress
 import pathlib
@@ -13,7 +17,7 @@
 
 
 class SettingsUnreadableError(Exception):
-    """The settings file cannot be read, or is not JSON with comments."""
+    """The settings file cannot be read or is not JSON with comments."""
 
 
 def _check_ip(_: object, field: "attrs.Attribute[str]", value: str) -> None:
@@ -51,15 +55,15 @@
 
 @attrs.frozen(slots=True)
 class CallerSettings:
-    """The port that callers connect to.
+    """The listening port for callers.
 
     Attributes:
-        host: The IP number to listen on.
-        port: The TCP port; 0 for any.
-        tls_certificate: Path of a PEM certificate; empty for no TLS.
-        tls_key: Path of its PEM key.
-        require_tls: Whether callers without TLS are refused.
-        max_connections: Connections that this node accepts at once.
+        host: The IPv4 address to listen on.
+        port: The TCP port; 0 for any free one.
+        tls_certificate: The path of a PEM certificate; empty to disable TLS.
+        tls_key: The path of the certificate's PEM key.
+        require_tls: Whether callers without TLS are rejected.
+        max_connections: The maximum number of concurrent connections.
     """
 
     host: str = attrs.field(default="127.0.0.1", validator=_check_ip)
@@ -74,14 +78,14 @@
 
 @attrs.frozen(slots=True)
 class EndpointSettings:
-    """How endpoints are reached.
+    """How the node connects to endpoints.
 
     Attributes:
-        driver: The registered driver.
-        user: The login at endpoints.
-        connect_timeout_s: Time for a new connection, in seconds.
-        validate_after_s: An idle connection older than this is tried before
-            a statement is handed to it, in seconds.
+        driver: The name of the registered driver.
+        user: The user name for logging in at endpoints.
+        connect_timeout_s: The timeout for a new connection, in seconds.
+        validate_after_s: The idle time after which a connection is validated
+            before it is given a statement, in seconds.
         idle_keep_s: How long an idle connection is kept, in seconds.
     """
 
@@ -98,22 +102,27 @@
 
 @attrs.frozen(slots=True)
 class PolicySettings:
-    """Choices that may vary between fleets.
+    """Policies and timings that may differ between deployments.
 
     Attributes:
-        read_policy: The registered policy that orders members for a read.
-        admission: The registered order of the slot queues.
-        probe_s: Period of the status probes of members, in seconds.
-        probe_timeout_s: Time for one probe's answer, in seconds.
-        silence_s: Silence after which a primary is suspected, in seconds.
-        refused_s: Refusal after which a primary is suspected, in seconds.
-        hold_s: Silence of a primary after which no new statement is handed to
-            it, in seconds.
-        catch_up_s: Longest wait for a replica to reach a floor, in seconds.
-        request_timeout_s: Time that a statement may take by default, seconds.
-        transaction_idle_s: Time that an open transaction may be idle, seconds.
-        stop_s: Time for what is in flight at a planned stop, in seconds.
-        leaving_s: Period at which the list of VMs is read, in seconds.
+        read_policy: The name of the policy that orders members for a read.
+        admission: The name of the policy that orders the slot queues.
+        probe_s: The interval of the status probes of members, in seconds.
+        probe_timeout_s: The timeout of one status probe, in seconds.
+        silence_s: How long a primary may be silent before it is suspected, in
+            seconds.
+        refused_s: How long a primary may refuse connections before it is
+            suspected, in seconds.
+        hold_s: How long a primary may be silent before new statements are
+            held back from it, in seconds.
+        catch_up_s: The maximum wait for a replica to reach a floor, in
+            seconds.
+        request_timeout_s: The default timeout of a statement, in seconds.
+        transaction_idle_s: The maximum idle time of an open transaction, in
+            seconds.
+        stop_s: The time for work in progress to complete at a planned stop,
+            in seconds.
+        leaving_s: The interval at which the VM list is read, in seconds.
     """
 
     read_policy: str = attrs.field(
@@ -147,22 +156,24 @@
     """All settings of a node.
 
     Attributes:
-        node: The name of the node, unique and new with each replacement.
-        data_centre: Where it runs.
-        host: The IP number that other nodes reach it at.
-        peer_port: TCP port of peer streams; 0 for any.
-        probe_port: UDP port of membership probes; 0 for any.
-        admin_port: TCP port of the administration API; 0 for any.
-        admin_token: The secret that operators send; empty closes the API to
-            changes.
-        store_url: Base URL of the platform's key-value service.
-        vm_list_url: URL of the platform's list of VMs.
-        store_readers: Nodes of each data centre that ask the store.
-        callers: The callers' port.
-        endpoints: How endpoints are reached.
-        policy: Choices that may vary.
+        node: The unique name of the node; a replacement gets a new name.
+        data_centre: The data centre that the node runs in.
+        host: The IPv4 address at which other nodes reach the node.
+        peer_port: The TCP port for peer streams; 0 for any free one.
+        probe_port: The UDP port for membership probes; 0 for any free one.
+        admin_port: The TCP port of the administration API; 0 for any free
+            one.
+        admin_token: The secret that authorizes changes by operators; if it is
+            empty, the API accepts no changes.
+        store_url: The base URL of the platform's key-value service.
+        vm_list_url: The URL of the platform's list of VMs.
+        store_readers: The number of nodes per data centre that read the
+            store.
+        callers: The listening port for callers.
+        endpoints: How the node connects to endpoints.
+        policy: Policies and timings.
         tracing: Whether spans are recorded.
-        log_dir: Where logs go; empty for standard error.
+        log_dir: The directory for log files; empty for standard error.
     """
 
     node: str = attrs.field(validator=_check_name)
@@ -183,11 +194,12 @@
 
 
 def settings_from_text(text: str) -> Settings:
-    """Returns the settings in a JSON text with comments.
+    """Parses settings from a JSON text with comments.
 
     Raises:
         SettingsUnreadableError: The text is not JSON with comments.
-        InvalidDocumentError: With every mistake, each with its path.
+        InvalidDocumentError: The settings are invalid. The error holds every
+            mistake with its path.
     """
     try:
         raw = json5.loads(text)
@@ -197,11 +209,13 @@
 
 
 def settings_from_file(path: str) -> Settings:
-    """Returns the settings in a file.
+    """Reads settings from a file.
 
     Raises:
-        SettingsUnreadableError: The file cannot be read.
-        InvalidDocumentError: With every mistake, each with its path.
+        SettingsUnreadableError: The file cannot be read or is not JSON with
+            comments.
+        InvalidDocumentError: The settings are invalid. The error holds every
+            mistake with its path.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
--- a/packages/node/src/ferry_node/_status.py
+++ b/packages/node/src/ferry_node/_status.py
@@ -1,4 +1,4 @@
-"""What a node shows of itself: the status page and the metrics."""
+"""Status page and metrics of a node."""
 
 import math
 import typing
@@ -17,15 +17,17 @@
     """One member of a database, as this node sees it.
 
     Attributes:
-        name: The member.
-        data_centre: Where it runs.
-        role: `primary` or `replica`, by the record.
-        term: The term that it follows.
-        applied: Its applied position as text.
-        age_s: Age of its data in seconds; -1 where it is not known.
-        silence_s: Seconds since its last sign of life.
-        waiting: Statements that wait for it here, by customer.
-        connections: Connections for statements that this node has to it.
+        name: The name of the member.
+        data_centre: The data centre that the member runs in.
+        role: `primary` or `replica`, according to the record.
+        term: The term that the member follows; 0 if unknown.
+        applied: The position that the member has applied, as text.
+        age_s: The age of the member's data in seconds; -1 if unknown.
+        silence_s: Seconds since the member last responded.
+        waiting: The number of statements queued here for the member, by
+            customer.
+        connections: The number of this node's connections to the member for
+            statements.
     """
 
     name: str
@@ -44,10 +46,10 @@
     """One database of which this node serves a member.
 
     Attributes:
-        name: The database.
-        term: The term of its record.
-        primary: Its primary.
-        members: Its members.
+        name: The name of the database.
+        term: The term of the database's record.
+        primary: The name of the primary according to the record.
+        members: All members of the database.
     """
 
     name: str
@@ -58,18 +60,18 @@
 
 @attrs.frozen(slots=True)
 class StatusPage:
-    """A node at a glance.
+    """An overview of a node's state.
 
     Attributes:
-        node: Its name.
-        data_centre: Where it runs.
-        stopping: Whether a planned stop is under way.
-        nodes: The nodes that it holds to be live.
-        store_reader: Whether it asks the store.
-        store_reachable: Whether the store answered last.
-        vm_list_reachable: Whether the platform's list answered last.
-        callers: Callers that are connected.
-        contracts: Versions of the contracts it honours, by customer.
+        node: The name of the node.
+        data_centre: The data centre that the node runs in.
+        stopping: Whether a planned stop is in progress.
+        nodes: The names of the nodes that it considers live.
+        store_reader: Whether it reads the store.
+        store_reachable: Whether its last call to the store succeeded.
+        vm_list_reachable: Whether its last fetch of the VM list succeeded.
+        callers: The number of connected callers.
+        contracts: The versions of the contracts that it applies, by customer.
         databases: The databases of which it serves a member.
     """
 
@@ -86,7 +88,7 @@
 
 
 def status(node: "_node.Node") -> typing.Any:
-    """Returns the status page as plain JSON values."""
+    """Returns the status page as JSON-compatible values."""
     board = node.board
     page = StatusPage(
         node=node.cfg.node,
@@ -127,14 +129,14 @@
     member: decisions.Member,
     record: decisions.Record,
 ) -> MemberLine:
-    known = watch.statuses.get(member.name)
+    last_status = watch.statuses.get(member.name)
     age = watch.tracker.age(member.name)
     service = node.controller.services.get((watch.database.name, member.name))
     return MemberLine(
         name=member.name,
         data_centre=member.data_centre,
         role="primary" if member.name == record.primary else "replica",
-        term=known.term if known else 0,
+        term=last_status.term if last_status else 0,
         applied=str(watch.tracker.applied(member.name)),
         age_s=-1.0 if math.isinf(age) else round(age, 3),
         silence_s=round(watch.silence(member.name), 3),
--- a/packages/node/src/ferry_node/_store.py
+++ b/packages/node/src/ferry_node/_store.py
@@ -1,8 +1,8 @@
-"""The platform's key-value service, over etcd's JSON gateway.
+"""Client of the platform's key-value service, over etcd's JSON gateway.
 
-Blocking calls run on an executor of their own; their futures complete on the
-node's loop. A call without an answer fails as `StoreUnavailableError`: the
-change may have taken effect.
+Blocking calls run on a dedicated executor, and their futures complete on the
+node's event loop. A call without a response fails with
+`StoreUnavailableError`; its change may still have taken effect.
 """
 
 import base64
@@ -21,8 +21,9 @@
 
 CALL_TIMEOUT_S = 1.0
 WATCH_READ_TIMEOUT_S = 30.0
-WORKERS = 4
-ERA_HEADER = "Store-Era"  # How often the store came back from a copy.
+MAX_CONCURRENT_CALLS = 4
+# The header that counts how often the store was restored from a backup.
+ERA_HEADER = "Store-Era"
 
 
 def _b64(data: bytes) -> str:
@@ -30,13 +31,13 @@
 
 
 def _prefix_end(prefix: str) -> bytes:
-    """Returns the first key after all that begin with `prefix`."""
+    """Returns the first key after all keys that begin with `prefix`."""
     raw = bytearray(prefix.encode())
     raw[-1] += 1
     return bytes(raw)
 
 
-def _entry(raw: dict[str, typing.Any], era: int) -> decisions.StoreEntry:
+def _parse_entry(raw: dict[str, typing.Any], era: int) -> decisions.StoreEntry:
     return decisions.StoreEntry(
         base64.b64decode(raw["key"]).decode(),
         base64.b64decode(raw.get("value", "")),
@@ -44,19 +45,19 @@
     )
 
 
-def _era_of(reply: urllib3.BaseHTTPResponse) -> int:
-    """Returns the era of an answer; a store that names none has one."""
+def _parse_era(reply: urllib3.BaseHTTPResponse) -> int:
+    """Returns the era of a response; without a valid header it is 0."""
     text = reply.headers.get(ERA_HEADER, "")
     return int(text) if text.isascii() and text.isdigit() else 0
 
 
 @attrs.frozen(slots=True)
 class _Reply:
-    """An answer of the store.
+    """A response of the store.
 
     Attributes:
-        raw: Its body.
-        era: The era that it was given in.
+        raw: The parsed JSON body.
+        era: The store's era at the time of the response.
     """
 
     raw: dict[str, typing.Any]
@@ -67,16 +68,21 @@
 
 
 class HttpStore:
-    """A client of the store, for one node."""
+    """Accesses the store on behalf of one node.
+
+    Attributes:
+        calls: The number of calls made.
+        era: The highest era that the store has reported.
+    """
 
     def __init__(self, loop: runtime.EventLoop, url: str) -> None:
         self._loop = loop
         self._url = url.rstrip("/")
         self._http = urllib3.PoolManager(
-            maxsize=WORKERS, retries=False, timeout=CALL_TIMEOUT_S
+            maxsize=MAX_CONCURRENT_CALLS, retries=False, timeout=CALL_TIMEOUT_S
         )
         self._executor = concurrent.futures.ThreadPoolExecutor(
-            WORKERS, thread_name_prefix="store"
+            MAX_CONCURRENT_CALLS, thread_name_prefix="store"
         )
         self.calls = 0
         self.era = 0
@@ -103,7 +109,11 @@
     def put_if(
         self, key: str, value: bytes, revision: decisions.Revision
     ) -> "decisions.Future[decisions.StoreEntry | None]":
-        """Writes a key if its revision is still `revision`."""
+        """Writes a key if its revision is still `revision`.
+
+        The future fails with `StoreUnavailableError` if the outcome is
+        unknown, and holds None if another writer came first.
+        """
         name = _b64(key.encode())
         body = {
             "compare": [
@@ -120,7 +130,7 @@
         def work() -> decisions.StoreEntry | None:
             reply = self._post("/v3/kv/txn", body)
             if reply.era != revision.era:
-                # The number means something else there, if anything.
+                # Revision numbers of different eras are not comparable.
                 raise decisions.StoreUnavailableError(
                     f"era {reply.era}, not {revision.era}"
                 )
@@ -138,11 +148,17 @@
         notify: Callable[[decisions.StoreEntry], None],
         restored: Callable[[], None],
     ) -> "HttpWatch":
-        """Reports each change below a prefix from now on."""
+        """Watches the keys that begin with a prefix.
+
+        Args:
+            prefix: The prefix of the keys.
+            notify: Called with each change from now on.
+            restored: Called when the store was restored from a backup.
+        """
         return HttpWatch(self._loop, self._url, prefix, notify, restored)
 
     def close(self) -> None:
-        """Ends the executor; calls under way are left to time out."""
+        """Shuts down the executor; running calls are left to time out."""
         self._executor.shutdown(wait=False, cancel_futures=True)
 
     def _submit(self, work: Callable[[], T]) -> "decisions.Future[T]":
@@ -153,7 +169,9 @@
         self, body: dict[str, typing.Any]
     ) -> "builtins.list[decisions.StoreEntry]":
         reply = self._post("/v3/kv/range", body)
-        return [_entry(raw, reply.era) for raw in reply.raw.get("kvs", [])]
+        return [
+            _parse_entry(raw, reply.era) for raw in reply.raw.get("kvs", [])
+        ]
 
     def _post(self, path: str, body: dict[str, typing.Any]) -> _Reply:
         try:
@@ -162,7 +180,7 @@
             )
             if reply.status != 200:
                 raise decisions.StoreUnavailableError(f"HTTP {reply.status}")
-            found = _Reply(json.loads(reply.data), _era_of(reply))
+            found = _Reply(json.loads(reply.data), _parse_era(reply))
         except (urllib3.exceptions.HTTPError, ValueError) as exc:
             raise decisions.StoreUnavailableError(repr(exc)) from exc
         self.era = max(self.era, found.era)
@@ -170,7 +188,10 @@
 
 
 class HttpWatch:
-    """A waiting watch; it reconnects by itself and misses nothing known."""
+    """A watch on a thread of its own.
+
+    It reconnects by itself and resumes after the last revision that it saw.
+    """
 
     def __init__(
         self,
@@ -184,7 +205,7 @@
         self._url = url
         self._prefix = prefix
         self._notify = notify
-        self._restored = restored
+        self._on_restored = restored
         self._stopped = threading.Event()
         self._revision = 0
         self._era: int | None = None
@@ -199,14 +220,14 @@
         ).start()
 
     def cancel(self) -> None:
-        """Ends the watch."""
+        """Stops the watch."""
         self._stopped.set()
 
     def _run(self) -> None:
-        pause = CALL_TIMEOUT_S
+        retry_delay_s = CALL_TIMEOUT_S
         while not self._stopped.is_set():
             try:
-                self._follow()
+                self._stream_changes()
             except (
                 urllib3.exceptions.HTTPError,
                 ValueError,
@@ -214,9 +235,9 @@
                 OSError,
             ) as exc:
                 logging.debug("event=watch_ended detail=%r", exc)
-            self._stopped.wait(pause)
+            self._stopped.wait(retry_delay_s)
 
-    def _follow(self) -> None:
+    def _stream_changes(self) -> None:
         create: dict[str, typing.Any] = {
             "key": _b64(self._prefix.encode()),
             "range_end": _b64(_prefix_end(self._prefix)),
@@ -230,36 +251,37 @@
             preload_content=False,
         )
         try:
-            if self._is_restored(_era_of(reply)):
+            if self._is_restored(_parse_era(reply)):
                 return
-            rest = b""
+            incomplete = b""
             for chunk in reply.stream():
-                *lines, rest = (rest + chunk).split(b"\n")
+                *lines, incomplete = (incomplete + chunk).split(b"\n")
                 for line in lines:
-                    self._take(line)
+                    self._handle_line(line)
                 if self._stopped.is_set():
                     return
         finally:
             reply.close()
 
     def _is_restored(self, era: int) -> bool:
-        """Notes the store's era; returns whether it is another one.
+        """Records the store's era and returns whether it has changed.
 
-        The number that was asked after lies in a history that is gone: the
-        store would say nothing until it has reached it again.
+        After a restore, the requested start revision belongs to a history that
+        no longer exists. The store would report no change until its
+        revisions reached that number again, so the watch starts over.
         """
-        before, self._era = self._era, era
-        if before is None or before == era:
+        previous, self._era = self._era, era
+        if previous is None or previous == era:
             return False
         self._revision = 0
-        self._loop.call_soon(self._restored)
+        self._loop.call_soon(self._on_restored)
         return True
 
-    def _take(self, line: bytes) -> None:
+    def _handle_line(self, line: bytes) -> None:
         if not line.strip():
             return
         result = json.loads(line)["result"]
         for event in result.get("events", []):
-            entry = _entry(event["kv"], self._era or 0)
+            entry = _parse_entry(event["kv"], self._era or 0)
             self._revision = max(self._revision, entry.revision.number)
             self._loop.call_soon(lambda e=entry: self._notify(e))  # type: ignore[misc]
--- a/packages/node/src/ferry_node/_targets.py
+++ b/packages/node/src/ferry_node/_targets.py
@@ -1,4 +1,4 @@
-"""The members to try for a request, and the nodes that serve them."""
+"""Selection of the members to try for a request, with their serving nodes."""
 
 from collections.abc import Callable
 
@@ -8,8 +8,9 @@
 from ferry_node import _messages
 from ferry_node import _settings
 
-BEHIND_S = 0.2
-TOO_OLD_S = 2.0
+# How long a replica is avoided after it was unreachable, or its data too old.
+AVOID_UNREACHABLE_S = 0.2
+AVOID_TOO_OLD_S = 2.0
 
 
 @attrs.frozen(slots=True)
@@ -17,8 +18,8 @@
     """A member and the node that serves it.
 
     Attributes:
-        member: The member's name.
-        node: The node.
+        member: The name of the member.
+        node: The serving node.
         primary: Whether the member is the primary.
     """
 
@@ -28,7 +29,7 @@
 
 
 class Targets:
-    """Chooses members by the read policy, the records and placement."""
+    """Selects members by the read policy, the records and the placement."""
 
     def __init__(
         self,
@@ -46,7 +47,7 @@
         self._database = database
         self._record = record
         self._policy = decisions.READ_POLICIES.get(cfg.policy.read_policy)()
-        self._behind: dict[tuple[str, str], float] = {}
+        self._avoided_until: dict[tuple[str, str], float] = {}
 
     def order(
         self,
@@ -54,7 +55,14 @@
         since_write_s: float,
         tried: int,
     ) -> list[Target]:
-        """Returns the members to try, the first to try first."""
+        """Returns the members to try, in the order in which to try them.
+
+        Args:
+            req: The request.
+            since_write_s: The time since the session's last write, in seconds.
+            tried: The number of attempts so far; after the first, only the
+                primary is tried.
+        """
         database = self._database(req.database)
         record = self._record(req.database)
         if database is None or record is None:
@@ -72,7 +80,7 @@
     def find_target(
         self, name: str, record: decisions.Record, member: str
     ) -> Target | None:
-        """Returns a member with its serving node; None where no node is."""
+        """Returns a member with its serving node; None if no node serves it."""
         database = self._database(name)
         if database is None:
             return None
@@ -95,7 +103,7 @@
         behind = frozenset(
             m.name
             for m in database.members
-            if self._behind.get((database.name, m.name), 0.0) > now
+            if self._avoided_until.get((database.name, m.name), 0.0) > now
             or m.address in leaving
         )
         return decisions.ReadRequest(
@@ -110,12 +118,12 @@
     def note_behind(
         self, database: str, target: Target, reply: _messages.ExecuteReply
     ) -> None:
-        """Avoids for a while a replica that was out of reach or too old."""
+        """Avoids for a while a replica that was unreachable or too old."""
         if (
             not target.primary
             and reply.detail != decisions.Eligibility.BELOW_FLOOR.value
         ):
             too_old = reply.detail == decisions.Eligibility.TOO_OLD.value
-            pause_s = TOO_OLD_S if too_old else BEHIND_S
-            until = self._timers.now() + pause_s
-            self._behind[(database, target.member)] = until
+            avoid_s = AVOID_TOO_OLD_S if too_old else AVOID_UNREACHABLE_S
+            until = self._timers.now() + avoid_s
+            self._avoided_until[(database, target.member)] = until
--- a/packages/node/src/ferry_node/_tracing.py
+++ b/packages/node/src/ferry_node/_tracing.py
@@ -1,7 +1,7 @@
-"""Traces: one span for each hop, through OpenTelemetry.
+"""Tracing with OpenTelemetry, with one span for each hop of a request.
 
-When tracing is off, `Tracer.begin` returns one shared span that does nothing,
-so a statement pays for a call and no more.
+While tracing is off, `Tracer.begin` returns one shared no-op span, so that a
+statement pays for a function call only.
 """
 
 from collections.abc import Sequence
@@ -13,20 +13,25 @@
 from opentelemetry.sdk.trace import export
 from opentelemetry.trace import propagation
 
-_FORMAT_PARTS = 2
+_CONTEXT_PARTS = 2
 
 
 class Span(typing.Protocol):
-    """One hop of a request."""
+    """One hop of a request.
+
+    Attributes:
+        context: The trace and span ids to pass to the next hop; empty when
+            tracing is off.
+    """
 
     context: str
 
     def end(self, outcome: str) -> None:
-        """Ends the span with what became of the hop."""
+        """Ends the span and records the outcome of the hop."""
 
 
-class _NoSpan:
-    """The span of a tracer that is off."""
+class _NoopSpan:
+    """The shared span of a disabled tracer."""
 
     context = ""
 
@@ -34,11 +39,11 @@
         """Does nothing."""
 
 
-_NO_SPAN = _NoSpan()
+_NOOP_SPAN = _NoopSpan()
 
 
-class _LiveSpan:
-    """A span that is recorded."""
+class _RecordedSpan:
+    """A span that is recorded and exported."""
 
     def __init__(self, span: trace.Span) -> None:
         self._span = span
@@ -46,7 +51,7 @@
         self.context = f"{ids.trace_id:032x}-{ids.span_id:016x}"
 
     def end(self, outcome: str) -> None:
-        """Ends the span with what became of the hop."""
+        """Ends the span and records the outcome of the hop."""
         self._span.set_attribute("outcome", outcome)
         self._span.end()
 
@@ -57,18 +62,18 @@
     def export(
         self, spans: Sequence[sdk.ReadableSpan]
     ) -> export.SpanExportResult:
-        """Writes finished spans."""
+        """Logs finished spans."""
         for span in spans:
             ids = span.get_span_context()
             if ids is None:
                 continue
-            took_ns = (span.end_time or 0) - (span.start_time or 0)
+            duration_ns = (span.end_time or 0) - (span.start_time or 0)
             logging.info(
                 "event=span trace=%032x span=%016x name=%s took_us=%d %s",
                 ids.trace_id,
                 ids.span_id,
                 span.name,
-                took_ns // 1000,
+                duration_ns // 1000,
                 _attributes(span),
             )
         return export.SpanExportResult.SUCCESS
@@ -80,7 +85,7 @@
 
 
 class Tracer:
-    """Begins spans, or does nothing when tracing is off."""
+    """Starts spans; they do nothing when tracing is off."""
 
     def __init__(
         self, enabled: bool, exporter: export.SpanExporter | None = None
@@ -93,19 +98,24 @@
             self._tracer = provider.get_tracer("rosemaryferry")
 
     def begin(self, name: str, parent: str = "") -> Span:
-        """Begins a span below the one that `parent` names."""
+        """Starts a span.
+
+        Args:
+            name: The name of the hop.
+            parent: The `context` of the parent span; empty for a root span.
+        """
         if self._tracer is None:
-            return _NO_SPAN
+            return _NOOP_SPAN
         context = None
         ids = parent.split("-")
-        if len(ids) == _FORMAT_PARTS:
-            above = trace.SpanContext(
+        if len(ids) == _CONTEXT_PARTS:
+            parent_context = trace.SpanContext(
                 int(ids[0], 16),
                 int(ids[1], 16),
                 is_remote=True,
                 trace_flags=trace.TraceFlags(trace.TraceFlags.SAMPLED),
             )
             context = propagation.set_span_in_context(
-                trace.NonRecordingSpan(above)
+                trace.NonRecordingSpan(parent_context)
             )
-        return _LiveSpan(self._tracer.start_span(name, context=context))
+        return _RecordedSpan(self._tracer.start_span(name, context=context))
--- a/packages/node/src/ferry_node/_vms.py
+++ b/packages/node/src/ferry_node/_vms.py
@@ -1,7 +1,7 @@
 """The platform's list of VMs, read over HTTP.
 
-The list lags, so it says who exists and who is leaving; whether a node is
-alive is for membership to find out.
+The list lags behind. It tells which VMs exist and which are leaving; whether a
+node is alive is determined by the membership probes.
 """
 
 import concurrent.futures
@@ -13,14 +13,14 @@
 import ferry_runtime as runtime
 import urllib3
 
-TIMEOUT_S = 1.0
+FETCH_TIMEOUT_S = 1.0
 NOT_MODIFIED = 304
 ENTRY = "entry"
 LEAVING = "leaving"
 
 
 class VmListUnavailableError(Exception):
-    """The platform gave no list of VMs."""
+    """The list of VMs could not be fetched."""
 
 
 @attrs.frozen(slots=True)
@@ -28,13 +28,14 @@
     """A VM of the platform's list.
 
     Attributes:
-        name: Its name.
+        name: The name of the VM.
         kind: `entry` for VMs of this system, `endpoint` for members.
         state: `live` or `leaving`.
-        data_centre: Where it runs.
-        host: Its IP number.
-        port: For endpoints, the TCP port; for entry VMs, that of peers.
-        probe_port: For entry VMs, the UDP port of probes.
+        data_centre: The data centre that the VM runs in.
+        host: The IPv4 address of the VM.
+        port: The TCP port for statements of an endpoint, or for peers of an
+            entry VM.
+        probe_port: The UDP port for probes of an entry VM.
     """
 
     name: str
@@ -46,7 +47,7 @@
     probe_port: int = 0
 
     def as_node(self) -> decisions.Node:
-        """Returns the entry VM as a node."""
+        """Returns the node on this entry VM."""
         return decisions.Node(
             self.name, self.data_centre, self.host, self.port, self.probe_port
         )
@@ -54,7 +55,7 @@
 
 @attrs.frozen(slots=True)
 class VmList:
-    """The list.
+    """The platform's list of VMs.
 
     Attributes:
         vms: All VMs, live and leaving.
@@ -63,35 +64,35 @@
     vms: tuple[Vm, ...]
 
 
-class VmLists(typing.Protocol):
-    """Where the list comes from."""
+class VmListSource(typing.Protocol):
+    """A source of the VM list."""
 
     def fetch(self) -> "decisions.Future[VmList]":
-        """Reads the list; fails with `VmListUnavailableError`."""
+        """Fetches the list; fails with `VmListUnavailableError`."""
 
     def close(self) -> None:
-        """Frees what the reader holds."""
+        """Releases the resources of the source."""
 
 
-class HttpVmLists:
-    """Reads the list from the platform."""
+class HttpVmListSource:
+    """Fetches the list from the platform over HTTP."""
 
     def __init__(self, loop: runtime.EventLoop, url: str) -> None:
         self._loop = loop
         self._url = url
         self._etag = ""
         self._last: VmList | None = None
-        self._http = urllib3.PoolManager(retries=False, timeout=TIMEOUT_S)
+        self._http = urllib3.PoolManager(retries=False, timeout=FETCH_TIMEOUT_S)
         self._executor = concurrent.futures.ThreadPoolExecutor(
             1, thread_name_prefix="vm-list"
         )
 
     def fetch(self) -> "decisions.Future[VmList]":
-        """Reads the list; fails with `VmListUnavailableError`."""
+        """Fetches the list; fails with `VmListUnavailableError`."""
         return runtime.on_loop(self._loop, self._executor.submit(self._read))
 
     def close(self) -> None:
-        """Ends the executor."""
+        """Shuts down the executor."""
         self._executor.shutdown(wait=False, cancel_futures=True)
 
     def _read(self) -> VmList:
