--- a/packages/node/src/ferry_node/_membership.py
+++ b/packages/node/src/ferry_node/_membership.py
@@ -63,7 +63,7 @@
             random.Random(),
             self._update_nodes,
         )
-        loop.on_late(self._view.note_process_pause)
+        loop.on_process_pause(self._view.note_process_pause)
         self._update_nodes()
         self._timer = decisions.PeriodicTimer(
             loop, cfg.policy.leaving_s, self._fetch, first=0.0
--- a/packages/node/src/ferry_node/_node.py
+++ b/packages/node/src/ferry_node/_node.py
@@ -110,7 +110,7 @@
         )
         self.admin = _admin.AdminServer(self)
         self._subscribe()
-        loop.on_late(self._note_process_pause)
+        loop.on_process_pause(self._note_process_pause)
 
     @property
     def caller_port(self) -> int:
--- a/packages/node/src/ferry_node/_vms.py
+++ b/packages/node/src/ferry_node/_vms.py
@@ -89,7 +89,9 @@
 
     def fetch(self) -> "decisions.Future[VmList]":
         """Fetches the list; fails with `VmListUnavailableError`."""
-        return runtime.on_loop(self._loop, self._executor.submit(self._read))
+        return runtime.relay_to_loop(
+            self._loop, self._executor.submit(self._read)
+        )
 
     def close(self) -> None:
         """Shuts down the executor."""
