--- a/packages/node/src/ferry_node/_admin.py
+++ b/packages/node/src/ferry_node/_admin.py
@@ -124,8 +124,8 @@
                 text = self._on_loop(lambda: _status.metrics(self._node))
                 return Response(200, text.encode(), TEXT_TYPE)
             case ("GET", ["v1", "status"]):
-                shown = self._on_loop(lambda: _status.status(self._node))
-                return Response(200, _json(shown))
+                page = self._on_loop(lambda: _status.status(self._node))
+                return Response(200, _json(page))
             case ("GET", ["v1", "contracts"]):
                 found = self._on_loop(self._node.contracts.in_force)
                 return Response(200, _json([_redacted(c) for c in found]))
@@ -193,6 +193,6 @@
 
 def _redacted(contract: decisions.Contract) -> object:
     """Returns a contract as JSON values, without password verifiers."""
-    shown = decisions.unstructure(contract)
-    shown["logins"] = [login.name for login in contract.logins]
-    return shown
+    fields = decisions.unstructure(contract)
+    fields["logins"] = [login.name for login in contract.logins]
+    return fields
--- a/packages/node/src/ferry_node/_audits.py
+++ b/packages/node/src/ferry_node/_audits.py
@@ -28,7 +28,7 @@
 
 def audit_record(contract: decisions.Contract) -> AuditRecord:
     """Returns the audit record of one contract version."""
-    shown = decisions.unstructure(contract)
-    shown["logins"] = [login.name for login in contract.logins]
+    fields = decisions.unstructure(contract)
+    fields["logins"] = [login.name for login in contract.logins]
     key = f"{audit_prefix(contract.customer)}{contract.version:08d}"
-    return AuditRecord(key, json.dumps(shown).encode())
+    return AuditRecord(key, json.dumps(fields).encode())
--- a/packages/node/src/ferry_node/_contracts_api.py
+++ b/packages/node/src/ferry_node/_contracts_api.py
@@ -22,7 +22,7 @@
 
 RESULT_TIMEOUT_S = 8.0
 MAX_READ_BACKS = 4
-READ_BACK_PAUSE_S = 0.3
+READ_BACK_DELAY_S = 0.3
 MAX_HISTORY_RECORDS = 50
 SALT_BYTES = 16
 
@@ -55,10 +55,13 @@
 
     def body(self) -> bytes:
         """Returns the JSON body of the response."""
-        shown: dict[str, object] = {"error": self.code, "detail": self.detail}
+        document: dict[str, object] = {
+            "error": self.code,
+            "detail": self.detail,
+        }
         if self.mistakes:
-            shown["mistakes"] = list(self.mistakes)
-        return json.dumps(shown).encode() + b"\n"
+            document["mistakes"] = list(self.mistakes)
+        return json.dumps(document).encode() + b"\n"
 
 
 @attrs.frozen(slots=True)
@@ -158,7 +161,8 @@
         if entry is not None:
             revision = entry.revision
         # The store may have been restored from a backup that lacks a change
-        # already confirmed to an operator, so this node's copy counts too.
+        # already confirmed to an operator, so the node's own directory is
+        # consulted too.
         newest = decisions.newest(entry, self._node.directory.get(key))
         if newest is not None:
             current = decisions.contract_from_json(json.loads(newest.value))
@@ -201,7 +205,7 @@
             ApiError: A concurrent change won, or the outcome stays unknown.
         """
         for _ in range(MAX_READ_BACKS):
-            yield decisions.sleep(self._node.loop, READ_BACK_PAUSE_S)
+            yield decisions.sleep(self._node.loop, READ_BACK_DELAY_S)
             try:
                 entry = yield self._node.store.get(key)
             except decisions.StoreUnavailableError:
@@ -232,11 +236,11 @@
     exists = current is not None and not current.deleted
     version = current.version if current is not None and exists else None
     if change.if_version != version:
-        shown = version if version is not None else "none"
+        found = version if version is not None else "none"
         raise ApiError(
             412 if change.if_version is not None else 409,
             "version_conflict",
-            f"the current version is {shown}; send it as If-Match",
+            f"the current version is {found}; send it as If-Match",
         )
 
 
