--- a/packages/standins/src/ferry_standins/_swarm.py
+++ b/packages/standins/src/ferry_standins/_swarm.py
@@ -34,18 +34,18 @@
     Attributes:
         nodes: How many nodes.
         centres: How many data centres, spread over three regions.
-        near_s: One-way delay inside a data centre, in seconds.
-        region_s: The same between data centres of a region.
-        far_s: The same between regions.
+        local_delay_s: One-way delay inside a data centre, in seconds.
+        intra_region_delay_s: The same between data centres of a region.
+        inter_region_delay_s: The same between regions.
         loss: Share of the datagrams that are lost.
         spreads: Whether configuration is spread too.
     """
 
     nodes: int = 410
     centres: int = 7
-    near_s: float = 0.0003
-    region_s: float = 0.001
-    far_s: float = 0.04
+    local_delay_s: float = 0.0003
+    intra_region_delay_s: float = 0.001
+    inter_region_delay_s: float = 0.04
     loss: float = 0.0
     spreads: bool = False
 
@@ -228,6 +228,10 @@
     def _delay(self, source: SwarmNode, target: SwarmNode) -> float:
         here, there = source.node.data_centre, target.node.data_centre
         if here == there:
-            return self.plan.near_s
+            return self.plan.local_delay_s
         same = int(here[3:]) % REGIONS == int(there[3:]) % REGIONS
-        return self.plan.region_s if same else self.plan.far_s
+        return (
+            self.plan.intra_region_delay_s
+            if same
+            else self.plan.inter_region_delay_s
+        )
--- a/packages/standins/src/ferry_standins/tests/test_ownership.py
+++ b/packages/standins/src/ferry_standins/tests/test_ownership.py
@@ -85,7 +85,7 @@
 def test_contested_member_keeps_floors_and_its_limit(contested):
     lab, first, second = contested
     assert contend(lab, [first, second]) == 0
-    assert lab.primary().most_conns <= lab.database.primary_connections
+    assert lab.primary().peak_conns <= lab.database.primary_connections
     values = [value for _, value in lab.stored()]
     assert len(values) == len(set(values))
     assert len(values) > 5
--- a/packages/standins/src/ferry_standins/tests/test_restored_store.py
+++ b/packages/standins/src/ferry_standins/tests/test_restored_store.py
@@ -207,7 +207,7 @@
     fleet = own_fleet
     assert test_admin.create(fleet, "unsure")[0] == 200
     copy = fleet.kv.state.copy()
-    fleet.kv.faults.lose_answers = 1
+    fleet.kv.faults.replies_to_drop = 1
     body = {**test_admin.DOCUMENT, "logins": ["clerk"], "share": 9}
     headers = {"If_Match": '"1"', "Idempotency_Key": "once"}
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
