--- a/packages/proxy/src/ferry_proxy/_runners.py
+++ b/packages/proxy/src/ferry_proxy/_runners.py
@@ -11,12 +11,12 @@
 
 from ferry_proxy import _clocks
 from ferry_proxy import _execution
-from ferry_proxy import _gates
 from ferry_proxy import _groups
 from ferry_proxy import _hedged_reads
 from ferry_proxy import _jobs
 from ferry_proxy import _links
 from ferry_proxy import _policy
+from ferry_proxy import _request_checks
 from ferry_proxy import _requests
 from ferry_proxy import _transactions
 
@@ -74,7 +74,7 @@
         policy: _policy.Policy,
         executor: _execution.Executor,
         group: _groups.Group,
-        gate: _gates.Gate = _gates.OPEN,
+        gate: _request_checks.Gate = _request_checks.OPEN,
     ) -> None:
         self._clock = clock
         self._policy = policy
--- a/packages/proxy/src/ferry_proxy/_served_groups.py
+++ b/packages/proxy/src/ferry_proxy/_served_groups.py
@@ -9,7 +9,6 @@
 from ferry_proxy import _clocks
 from ferry_proxy import _configuration
 from ferry_proxy import _execution
-from ferry_proxy import _gates
 from ferry_proxy import _groups
 from ferry_proxy import _links
 from ferry_proxy import _members
@@ -19,6 +18,7 @@
 from ferry_proxy import _promotions
 from ferry_proxy import _rate_limiter
 from ferry_proxy import _records
+from ferry_proxy import _request_checks
 from ferry_proxy import _runners
 from ferry_proxy import _serving_plan
 from ferry_proxy import _store
@@ -57,7 +57,7 @@
     promotions: _store.Promotions
     mesh: "_peers.Streams"
     metrics: _metrics.Metrics
-    gate: _gates.Gate
+    gate: _request_checks.Gate
     is_stopping: Callable[[], bool]
 
 
--- a/packages/proxy/src/ferry_proxy/_transactions.py
+++ b/packages/proxy/src/ferry_proxy/_transactions.py
@@ -4,13 +4,13 @@
 
 from ferry_proxy import _clocks
 from ferry_proxy import _execution
-from ferry_proxy import _gates
 from ferry_proxy import _groups
 from ferry_proxy import _jobs
 from ferry_proxy import _links
 from ferry_proxy import _policy
 from ferry_proxy import _pooled_links
 from ferry_proxy import _pools
+from ferry_proxy import _request_checks
 from ferry_proxy import _requests
 from ferry_proxy import _statements
 
@@ -28,7 +28,7 @@
         policy: _policy.Policy,
         group: _groups.Group,
         read_only: bool,
-        gate: _gates.Gate,
+        gate: _request_checks.Gate,
     ) -> None:
         self._clock = clock
         self._executor = executor
--- a/packages/proxy/src/ferry_proxy/tests/test_served_groups.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_served_groups.py
@@ -6,12 +6,12 @@
 
 from ferry_proxy import _catalogue
 from ferry_proxy import _configuration
-from ferry_proxy import _gates
 from ferry_proxy import _metrics
 from ferry_proxy import _peers
 from ferry_proxy import _policy
 from ferry_proxy import _queueing
 from ferry_proxy import _records
+from ferry_proxy import _request_checks
 from ferry_proxy import _served_groups
 from ferry_proxy import _serving_plan
 from ferry_proxy import _statements
@@ -88,7 +88,7 @@
                 promotions=self.cluster,
                 mesh=self.mesh,
                 metrics=_metrics.Metrics(),
-                gate=_gates.OPEN,
+                gate=_request_checks.OPEN,
                 is_stopping=lambda: self.stopping,
             )
         )
--- a/packages/standins/src/ferry_standins/_lab.py
+++ b/packages/standins/src/ferry_standins/_lab.py
@@ -196,7 +196,7 @@
         if fut.done():
             return
         if self.net.is_cut(centre, target.centre):
-            lost = _peers.PeerLostError("silent", handed=True)
+            lost = _peers.PeerLostError("silent", was_sent=True)
             decisions.reject(fut, lost)
             return
         self.timers.after(
--- a/packages/standins/src/ferry_standins/_lab_node.py
+++ b/packages/standins/src/ferry_standins/_lab_node.py
@@ -69,7 +69,7 @@
                 position=self.position,
             )
         )
-        self.timers.on_late(self.watch.note_process_pause)
+        self.timers.on_process_pause(self.watch.note_process_pause)
 
     def take(self, record: decisions.Record) -> None:
         """Takes in a record."""
@@ -176,7 +176,7 @@
         )
         out: decisions.Future[None] = decisions.Future()
         decisions.forward(alive, out)
-        lost = _peers.PeerLostError("shows no life", handed=False)
+        lost = _peers.PeerLostError("shows no life", was_sent=False)
         lab.timers.after(
             PEER_CHECK_TIMEOUT_S, lambda: decisions.reject(out, lost)
         )
--- a/packages/standins/src/ferry_standins/tests/test_faults.py
+++ b/packages/standins/src/ferry_standins/tests/test_faults.py
@@ -14,7 +14,7 @@
 from ferry_decisions import _confirmations
 from ferry_decisions import _promotion
 from ferry_node import _entry
-from ferry_node import _gates
+from ferry_node import _request_checks
 from ferry_node import _serving
 import pytest
 
@@ -158,7 +158,7 @@
 MUTANTS = [
     (
         "acknowledge without a majority",
-        _gates.Gates,
+        _request_checks.RequestChecks,
         "confirm",
         _confirm_nothing,
         "isolated",
--- a/packages/standins/src/ferry_standins/tests/test_ownership.py
+++ b/packages/standins/src/ferry_standins/tests/test_ownership.py
@@ -102,7 +102,9 @@
         monkeypatch.setattr(service.ownership, "lose", lambda: None)
         monkeypatch.setattr(service.pool, "_owner", "")
         monkeypatch.setattr(
-            service.gates, "prove", lambda _, s=service: _proved(lab, s)
+            service.request_checks,
+            "prove",
+            lambda _, s=service: _proved(lab, s),
         )
     assert contend(lab, [first, second]) > 0
 
