--- a/packages/standins/src/ferry_standins/__init__.py
+++ b/packages/standins/src/ferry_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the platform and the database endpoints."""
+"""Fakes of the platform and the database endpoints for tests and demos."""
 
 from ferry_standins._fleet import ADMIN_TOKEN
 from ferry_standins._fleet import Fleet
--- a/packages/standins/src/ferry_standins/_control.py
+++ b/packages/standins/src/ferry_standins/_control.py
@@ -1,4 +1,4 @@
-"""Control statements of a stand-in member: terms, roles and waits."""
+"""Control statements of a fake member: terms, roles and waits."""
 
 import json
 import typing
@@ -16,7 +16,7 @@
 def run(
     member: "_member.Member", session: "_session.Session", text: str
 ) -> None:
-    """Carries out an order and answers with the member's status."""
+    """Executes a control order and replies with the member's status."""
     raw = json.loads(text)
     order = decisions.structure(raw, node.ControlOrder, "order")
     if order.op == "running":
@@ -39,9 +39,9 @@
         case "own":
             member.own(order.owner)
         case "fence":
-            led = replica.leads
+            was_primary = replica.leads
             replica.fence(order.term, order.claim_id)
-            if led and not replica.leads:
+            if was_primary and not replica.leads:
                 member.drop_callers()
         case "promote":
             member.apply_to(len(replica.log))
@@ -69,7 +69,7 @@
     session: "_session.Session",
     order: node.ControlOrder,
 ) -> None:
-    """Answers once an index has been received, or at the timeout."""
+    """Replies once an index has been received, or after the timeout."""
     if order.index <= len(member.replica.log):
         session.answer_status()
         return
--- a/packages/standins/src/ferry_standins/_fleet.py
+++ b/packages/standins/src/ferry_standins/_fleet.py
@@ -1,7 +1,7 @@
-"""A whole small fleet in one process, on loopback, for demos and tests.
+"""A small fleet in one process, on loopback, for demos and tests.
 
-The stand-ins run on one loop and each node on a loop of its own, as in
-processes of their own; they meet over sockets only.
+The fakes share one event loop and each node has its own. As with separate
+processes, they communicate only through sockets.
 """
 
 from collections.abc import Callable
@@ -20,22 +20,24 @@
 from ferry_standins import _member
 from ferry_standins import _vms
 
-ADMIN_TOKEN = "demo-token"  # noqa: S105 - of a stand-in on loopback
+ADMIN_TOKEN = "demo-token"  # noqa: S105 - protects fakes on loopback only
 
-KILL_TIMEOUT_S = 10.0  # Bounds a run that hangs.
+# Makes a test fail instead of hanging when a node does not close.
+KILL_TIMEOUT_S = 10.0
 
 
 @attrs.frozen(slots=True)
 class FleetPlan:
-    """What a fleet consists of.
+    """The size and the settings of a fleet.
 
     Attributes:
-        data_centres: Their names; each has the same number of nodes.
-        nodes_per_centre: Entry VMs in each.
+        data_centres: Names of the data centres. Each has the same number of
+            nodes.
+        nodes_per_centre: Entry VMs in each data centre.
         databases: Names of databases; each has a member in each of the first
             three data centres.
-        slots: Statements at once on one member.
-        connections: Endpoint connections per database.
+        slots: Maximum number of concurrent statements on one member.
+        connections: Maximum number of endpoint connections per database.
         delay_s: Replication delay, in seconds.
         policy: The nodes' policy settings.
     """
@@ -53,11 +55,11 @@
 
 
 class FleetNotReadyError(Exception):
-    """The fleet did not come up in time."""
+    """The fleet cannot serve requests yet."""
 
 
 class Fleet:
-    """The platform, the databases and the nodes."""
+    """The fake platform, the fake databases and the real nodes."""
 
     def __init__(self, plan: FleetPlan) -> None:
         self.plan = plan
@@ -104,22 +106,29 @@
         return started
 
     def kill_node(self, name: str) -> None:
-        """Ends a node at once, as the loss of its VM does.
+        """Stops a node abruptly, as the loss of its VM does.
 
-        Returns once it has ended: nothing that is sent later reaches it.
+        Returns after the node has closed, so that nothing sent afterwards
+        reaches it.
         """
-        found = self.nodes.pop(name)
-        closed = runtime.submit_to_loop(found.loop, lambda: _closed(found))
+        stopped_node = self.nodes.pop(name)
+        closed = runtime.submit_to_loop(
+            stopped_node.loop, lambda: _close_node(stopped_node)
+        )
         closed.result(KILL_TIMEOUT_S)
-        found.loop.stop()
+        stopped_node.loop.stop()
 
     def stop_node(self, name: str) -> "concurrent.futures.Future[int]":
-        """Begins a planned stop; the future counts what was cut off."""
-        found = self.nodes[name]
-        return runtime.submit_to_loop(found.loop, found.stop)
+        """Begins a planned stop.
+
+        Returns:
+            The number of callers that the stop disconnected.
+        """
+        stopped_node = self.nodes[name]
+        return runtime.submit_to_loop(stopped_node.loop, stopped_node.stop)
 
     def put(self, key: str, value: object) -> None:
-        """Writes a document to the store, over whatever is there."""
+        """Writes a document to the store, replacing any existing one."""
         raw = json.dumps(decisions.unstructure(value)).encode()
         name = _kv.encode_key(key)
         known = self.kv.state.range(name, "")
@@ -139,8 +148,8 @@
         Args:
             customer: The customer.
             logins: Passwords by login.
-            share: Its weight.
-            staleness_s: Its reads' default age, in seconds.
+            share: The customer's weight in admission.
+            staleness_s: Default maximum age of its reads, in seconds.
             version: The contract's version.
         """
         contract = decisions.Contract(
@@ -162,7 +171,7 @@
         """Returns the member that leads the latest term.
 
         Raises:
-            FleetNotReadyError: None does.
+            FleetNotReadyError: No member is primary.
         """
         leaders = [
             m for m in self.members[database].values() if m.replica.leads
@@ -172,7 +181,7 @@
         return max(leaders, key=lambda m: m.replica.term)
 
     def isolate(self, database: str, name: str) -> None:
-        """Cuts a member off: silent to all nodes and to the other members."""
+        """Isolates a member: it stops answering nodes and other members."""
         self.members[database][name].faults.silent = True
         self.groups[database].set_down(name, True)
 
@@ -190,7 +199,7 @@
         return f"host=127.0.0.1 port={port} user={user} dbname={database}"
 
     def close(self) -> None:
-        """Ends everything."""
+        """Stops all nodes and fakes."""
         for name in list(self.nodes):
             self.kill_node(name)
         self.kv.close()
@@ -227,14 +236,14 @@
         self.put(decisions.TOPOLOGY_PREFIX + name, database)
 
     def on_loop(self, work: Callable[[], object]) -> None:
-        """Runs work on the stand-ins' loop and waits for it."""
+        """Runs a callable on the fakes' loop and waits for its result."""
         fut = runtime.submit_to_loop(
             self.loop, lambda: decisions.completed(work())
         )
         fut.result(CALL_TIMEOUT_S)
 
 
-def _closed(found: node.Node) -> "decisions.Future[None]":
-    """Closes a node, on its own loop."""
-    found.close()
+def _close_node(stopped_node: node.Node) -> "decisions.Future[None]":
+    """Closes a node. Runs on the node's own loop."""
+    stopped_node.close()
     return decisions.completed(None)
--- a/packages/standins/src/ferry_standins/_history.py
+++ b/packages/standins/src/ferry_standins/_history.py
@@ -1,4 +1,4 @@
-"""A checker of what callers saw against what the database holds."""
+"""Checks results that callers saw against the contents of the database."""
 
 import attrs
 import ferry_decisions as decisions
@@ -9,13 +9,13 @@
     """One request of one session.
 
     Attributes:
-        session: Whose it is.
+        session: Name of the session that sent the request.
         key: The key that it wrote or read.
-        value: What it wrote or saw.
-        is_write: Whether it wrote.
+        value: The value that it wrote or read.
+        is_write: Whether it is a write.
         begun: When it was sent, in seconds.
-        ended: When its answer came, in seconds.
-        outcome: What the caller was told.
+        ended: When its reply arrived, in seconds.
+        outcome: The outcome that was reported to the caller.
     """
 
     session: str
@@ -29,14 +29,17 @@
 
 @attrs.define
 class Verdict:
-    """How often each promise was broken.
+    """Number of violations of each consistency guarantee.
+
+    The names of the attributes appear in benchmark reports.
 
     Attributes:
-        own_writes: Reads that did not show an earlier write of the session.
-        backwards: Reads that showed less than an earlier read of it.
-        lost: Acknowledged writes that the database does not hold.
-        doubled: Writes that it holds more than once.
-        untrue: Writes that it holds though their caller was told "not run".
+        own_writes: Reads that missed an earlier write of the same session.
+        backwards: Reads older than an earlier read of the same session.
+        lost: Acknowledged writes that the database does not contain.
+        doubled: Writes that the database contains more than once.
+        untrue: Writes that the database contains although their caller was
+            told "not run".
     """
 
     own_writes: int = 0
@@ -47,40 +50,40 @@
 
     @property
     def total(self) -> int:
-        """All violations."""
+        """Number of violations of any guarantee."""
         return sum(attrs.astuple(self))
 
 
 def check(
     operations: list[Operation], stored: list[tuple[str, int]]
 ) -> Verdict:
-    """Returns how often each promise was broken.
+    """Counts violations of the consistency guarantees.
 
-    Values of a key only grow, each write is unique, and a session sends one
-    request at a time.
+    Assumes that the values of a key only grow, that each write is unique and
+    that a session sends one request at a time.
 
     Args:
-        operations: All requests, in the order of their answers.
-        stored: The database's log at the end: pairs of a key and a value.
+        operations: All requests, in the order of their replies.
+        stored: The final log of the database, as pairs of a key and a value.
     """
     verdict = Verdict()
     counts: dict[tuple[str, int], int] = {}
-    for pair in stored:
-        counts[pair] = counts.get(pair, 0) + 1
-    verdict.doubled = sum(n - 1 for n in counts.values())
+    for entry in stored:
+        counts[entry] = counts.get(entry, 0) + 1
+    verdict.doubled = sum(count - 1 for count in counts.values())
     floor: dict[tuple[str, str], int] = {}
     seen: dict[tuple[str, str], int] = {}
     for op in operations:
-        place = (op.session, op.key)
+        session_key = (op.session, op.key)
         if op.is_write:
-            held = (op.key, op.value) in counts
+            is_stored = (op.key, op.value) in counts
             if op.outcome is decisions.Outcome.RAN:
-                verdict.lost += not held
-                floor[place] = max(floor.get(place, 0), op.value)
+                verdict.lost += not is_stored
+                floor[session_key] = max(floor.get(session_key, 0), op.value)
             elif op.outcome is decisions.Outcome.NOT_RUN:
-                verdict.untrue += held
+                verdict.untrue += is_stored
         elif op.outcome is decisions.Outcome.RAN:
-            verdict.own_writes += op.value < floor.get(place, 0)
-            verdict.backwards += op.value < seen.get(place, 0)
-            seen[place] = max(seen.get(place, 0), op.value)
+            verdict.own_writes += op.value < floor.get(session_key, 0)
+            verdict.backwards += op.value < seen.get(session_key, 0)
+            seen[session_key] = max(seen.get(session_key, 0), op.value)
     return verdict
--- a/packages/standins/src/ferry_standins/_kv.py
+++ b/packages/standins/src/ferry_standins/_kv.py
@@ -1,8 +1,8 @@
-"""A stand-in for the platform's key-value service.
+"""A fake of the platform's key-value service.
 
-It speaks the part of etcd's JSON gateway that the node uses: range, txn with
-one comparison, watch, and leases. It can be made unavailable, slow, or to
-lose answers after the change took effect.
+Implements the part of etcd's JSON gateway that the node uses: range, txn with
+one comparison, watch, and leases. Tests can make it unavailable or slow, or
+have it drop the replies to writes that took effect.
 """
 
 import base64
@@ -20,12 +20,13 @@
 
 @attrs.define
 class KvFaults:
-    """What is wrong with the service at present.
+    """The faults that the service currently shows.
 
     Attributes:
         down: Whether every call fails.
-        delay_s: Time that each call takes, in seconds.
-        replies_to_drop: How many of the next writes take effect unanswered.
+        delay_s: Delay before each call is handled, in seconds.
+        replies_to_drop: Number of coming writes that take effect but get no
+            reply.
     """
 
     down: bool = False
@@ -38,9 +39,9 @@
     """A value in the service.
 
     Attributes:
-        value: Base64 text.
-        revision: The revision that last changed it.
-        lease: The lease that it hangs on; 0 for none.
+        value: The value as base64 text.
+        revision: The revision of its last change.
+        lease: The lease whose expiry deletes it; 0 for none.
     """
 
     value: str
@@ -50,17 +51,19 @@
 
 @attrs.frozen
 class KvBackup:
-    """What the service held at a moment."""
+    """A backup of the service's contents."""
 
     values: dict[str, KvValue]
     revision: int
 
 
 class KvState:
-    """The service's contents, for any number of threads.
+    """The service's contents. All methods are thread-safe.
 
     Attributes:
-        era: How often the service came back from a copy.
+        revision: The revision of the last change.
+        era: Number of times the service was restored from a backup.
+        calls: Number of calls so far.
     """
 
     def __init__(self) -> None:
@@ -73,12 +76,12 @@
         self.calls = 0
 
     def copy(self) -> KvBackup:
-        """Returns what a later `restore` brings back."""
+        """Returns a backup of the contents for `restore`."""
         with self._lock:
             return KvBackup(dict(self._values), self.revision)
 
     def restore(self, copy: KvBackup) -> None:
-        """Comes back from a copy; all that was written since is gone."""
+        """Restores a backup, which loses all later writes."""
         with self._lock:
             self.era += 1
             self._values = dict(copy.values)
@@ -93,15 +96,15 @@
             if not end:
                 found = self._values.get(key)
                 return [(key, found)] if found else []
-            first, last = _raw(key), _raw(end)
+            first, last = _decode_key(key), _decode_key(end)
             return sorted(
                 (k, v)
                 for k, v in self._values.items()
-                if first <= _raw(k) < last
+                if first <= _decode_key(k) < last
             )
 
     def put_if(self, key: str, value: str, revision: int, lease: int) -> bool:
-        """Writes a key if its revision is `revision`; 0 for no key."""
+        """Writes a key if its revision is `revision`; 0 if it is absent."""
         with self._lock:
             self._expire()
             self.calls += 1
@@ -116,7 +119,7 @@
             return True
 
     def grant(self, ttl_s: float) -> int:
-        """Returns a new lease."""
+        """Returns the number of a new lease."""
         with self._lock:
             self.calls += 1
             number = len(self._leases) + 1
@@ -124,7 +127,7 @@
             return number
 
     def watch(self) -> "queue.Queue[tuple[str, KvValue]]":
-        """Returns a queue that gets each change from now on."""
+        """Returns a queue that receives each later change."""
         watcher: queue.Queue[tuple[str, KvValue]] = queue.Queue()
         with self._lock:
             self.calls += 1
@@ -137,7 +140,10 @@
             self._watchers.remove(watcher)
 
     def since(self, revision: int) -> list[tuple[str, KvValue]]:
-        """Returns the values that are as new as a revision, oldest first."""
+        """Returns the values changed since a revision, oldest first.
+
+        The revision itself is included.
+        """
         with self._lock:
             found = [
                 (k, v)
@@ -148,23 +154,23 @@
 
     def _expire(self) -> None:
         now = time.monotonic()
-        gone = {n for n, end in self._leases.items() if end < now}
+        expired = {n for n, end in self._leases.items() if end < now}
         for key, value in list(self._values.items()):
-            if value.lease in gone:
+            if value.lease in expired:
                 del self._values[key]
 
 
 def encode_key(text: str) -> str:
-    """Returns a key or value as the service's protocol carries it."""
+    """Returns a key or value in base64, as the protocol encodes it."""
     return base64.b64encode(text.encode()).decode()
 
 
-def _raw(key: str) -> bytes:
+def _decode_key(key: str) -> bytes:
     return base64.b64decode(key)
 
 
 class KvServer:
-    """Serves a `KvState` over HTTP, with faults."""
+    """Serves a `KvState` over HTTP and injects faults."""
 
     def __init__(self, host: str = "127.0.0.1", port: int = 0) -> None:
         self.state = KvState()
@@ -173,11 +179,11 @@
         server = self
 
         class Handler(http.server.BaseHTTPRequestHandler):
-            """Hands each request to the server."""
+            """Passes each request to the server."""
 
             protocol_version = "HTTP/1.1"
 
-            def do_POST(self) -> None:  # noqa: N802 - the library's name
+            def do_POST(self) -> None:  # noqa: N802 - name given by the library
                 server.handle(self)
 
             def log_message(self, format: str, *args: object) -> None:
@@ -197,7 +203,7 @@
         self._server.server_close()
 
     def handle(self, request: http.server.BaseHTTPRequestHandler) -> None:
-        """Answers one request, as the faults allow."""
+        """Replies to one request, subject to the current faults."""
         length = int(request.headers.get("Content-Length", "0"))
         body = json.loads(request.rfile.read(length) or b"{}")
         if self.faults.delay_s:
@@ -226,7 +232,10 @@
         header = {"revision": str(self.state.revision)}
         if path == "/v3/kv/range":
             found = self.state.range(body["key"], body.get("range_end", ""))
-            return {"header": header, "kvs": [_kv(k, v) for k, v in found]}
+            return {
+                "header": header,
+                "kvs": [_encode_entry(k, v) for k, v in found],
+            }
         if path == "/v3/kv/txn":
             put = body["success"][0]["request_put"]
             revision = int(body["compare"][0]["mod_revision"])
@@ -256,7 +265,7 @@
                     int(create["start_revision"])
                 ):
                     self._send_event(request, create, key, value)
-            # A service that comes back from a copy keeps no connection.
+            # A restored service has lost all of its connections.
             while not self._closing.is_set() and not self.faults.down:
                 if self.state.era != era:
                     return
@@ -277,16 +286,19 @@
         key: str,
         value: KvValue,
     ) -> None:
-        first, last = _raw(create["key"]), _raw(create["range_end"])
-        if not first <= _raw(key) < last:
+        first, last = (
+            _decode_key(create["key"]),
+            _decode_key(create["range_end"]),
+        )
+        if not first <= _decode_key(key) < last:
             return
-        event = {"result": {"events": [{"kv": _kv(key, value)}]}}
+        event = {"result": {"events": [{"kv": _encode_entry(key, value)}]}}
         line = json.dumps(event).encode() + b"\n"
         request.wfile.write(b"%x\r\n%s\r\n" % (len(line), line))
         request.wfile.flush()
 
 
-def _kv(key: str, value: KvValue) -> dict[str, str]:
+def _encode_entry(key: str, value: KvValue) -> dict[str, str]:
     return {
         "key": key,
         "value": value.value,
--- a/packages/standins/src/ferry_standins/_lab.py
+++ b/packages/standins/src/ferry_standins/_lab.py
@@ -1,7 +1,8 @@
-"""The real nodes' decisions on virtual members: one database, few nodes.
+"""Simulates one database with a few nodes in virtual time.
 
-Per data centre one node with the real watch, member services and dispatcher.
-Requests between nodes take the virtual network's delay.
+Each data centre has one node, with the real watch, member services and
+dispatcher. The members, the store and the network are fakes; requests between
+nodes take the delay of the virtual network.
 """
 
 from collections.abc import Callable
@@ -21,21 +22,24 @@
 
 CUSTOMER = "lone-star"
 DATABASE = "plates"
+# How often a pending request between nodes checks whether its nodes are cut
+# off from each other. If so, it fails as on a lost stream.
 PEER_SILENCE_TIMEOUT_S = 1.0
 
 
 @attrs.frozen
 class LabPlan:
-    """What an experiment runs on.
+    """The topology and the timing of a simulation.
 
     Attributes:
-        centres: Data centres, one member and one node in each.
+        centres: Names of the data centres. Each has one node, and each of the
+            first three has one member.
         delay_s: One-way delay between data centres, in seconds.
         replication_s: Replication delay, in seconds.
-        apply_s: Time from receiving an entry to showing it, in seconds.
-        statement_s: Time that a statement takes at a member, in seconds.
-        slots: Statements at once on one member.
-        staleness_s: The contract's staleness, in seconds.
+        apply_s: Time from receiving an entry to applying it, in seconds.
+        statement_s: Execution time of a statement at a member, in seconds.
+        slots: Maximum number of concurrent statements on one member.
+        staleness_s: Maximum age of reads in the contract, in seconds.
         policy: The nodes' policy settings.
     """
 
@@ -50,7 +54,7 @@
 
 
 class Lab:
-    """Nodes, members and the store of one experiment."""
+    """The nodes, the members and the store of one simulation."""
 
     def __init__(self, plan: LabPlan, seed: int) -> None:
         self.plan = plan
@@ -63,14 +67,16 @@
             delay_s=plan.replication_s, apply_s=plan.apply_s
         )
         self.group = _log.Group(self.timers, self.link_faults)
-        described = tuple(
+        descriptions = tuple(
             decisions.Member(f"{DATABASE}-{c}", c, "127.0.0.1", i + 1)
             for i, c in enumerate(plan.centres[:3])
         )
-        self.database = decisions.Database(DATABASE, described, plan.slots, 35)
+        self.database = decisions.Database(
+            DATABASE, descriptions, plan.slots, 35
+        )
         self.members = {
             m.name: _virtual.VirtualMember(self.timers, m, self.group)
-            for m in described
+            for m in descriptions
         }
         for member in self.members.values():
             member.statement_s = plan.statement_s
@@ -89,7 +95,7 @@
     def add_contract(
         self, customer: str, share: int, staleness_s: float
     ) -> None:
-        """Puts a contract in force at every node."""
+        """Activates a contract on every node."""
         self.contracts.merge(
             decisions.Contract(
                 customer=customer,
@@ -102,7 +108,7 @@
         )
 
     def links(self, centre: str) -> dict[str, _virtual.Link]:
-        """Returns the ways from a data centre to all members."""
+        """Returns the links from a data centre to all members, by name."""
         return {
             name: _virtual.Link(self.timers, self.net, centre, member)
             for name, member in self.members.items()
@@ -118,10 +124,10 @@
         return max(leaders, key=lambda m: m.replica.term)
 
     def isolate(self, member: str) -> None:
-        """Cuts a member off from all nodes and members."""
-        for place in [*self.plan.centres, *self.members]:
-            if place != member:
-                self.net.cut.add(frozenset((place, member)))
+        """Isolates a member from all nodes and members."""
+        for other in [*self.plan.centres, *self.members]:
+            if other != member:
+                self.net.cut.add(frozenset((other, member)))
         self.group.set_down(member, True)
 
     def heal(self, member: str) -> None:
@@ -130,19 +136,19 @@
         self.group.set_down(member, False)
 
     def crash(self, member: str) -> None:
-        """Stops a member: its machine refuses connections."""
+        """Crashes a member; its machine refuses connections."""
         found = self.members[member]
         found.crashed = True
         self.group.set_down(member, True)
         found.drop_conns()
 
     def restart(self, member: str) -> None:
-        """Starts a member again, with its log."""
+        """Restarts a crashed member, which has kept its log."""
         self.members[member].crashed = False
         self.group.set_down(member, False)
 
     def cut_centre(self, centre: str) -> None:
-        """Cuts a data centre off from the others and from the store."""
+        """Isolates a data centre from the others and from the store."""
         for other in self.plan.centres:
             if other != centre:
                 self.net.cut.add(frozenset((centre, other)))
@@ -155,7 +161,7 @@
         self.node_in(centre).store.cut = True
 
     def heal_centre(self, centre: str) -> None:
-        """Ends the cut of a data centre."""
+        """Ends all network cuts, and the store's cut in this centre."""
         self.net.cut.clear()
         self.link_faults.cut.clear()
         self.node_in(centre).store.cut = False
@@ -166,11 +172,17 @@
         target: _lab_node.LabNode,
         work: "Callable[[], decisions.Future[typing.Any]]",
     ) -> "decisions.Future[typing.Any]":
-        """Runs work at another node and brings its result back."""
+        """Calls a function at another node and returns its result.
+
+        Args:
+            centre: The data centre of the calling node.
+            target: The node that is called.
+            work: The function to call there.
+        """
         fut: decisions.Future[typing.Any] = decisions.Future()
         delay = self.net.delay(centre, target.centre)
 
-        def answer(done: "decisions.Future[typing.Any]") -> None:
+        def reply(done: "decisions.Future[typing.Any]") -> None:
             if not self.net.is_cut(centre, target.centre):
                 self.timers.after(
                     delay, lambda: decisions.resolve(fut, done.result())
@@ -178,21 +190,22 @@
 
         def arrive() -> None:
             if not self.net.is_cut(centre, target.centre):
-                work().add_done_callback(answer)
+                work().add_done_callback(reply)
 
         target.timers.after(delay, arrive)
         self.timers.after(
-            PEER_SILENCE_TIMEOUT_S, lambda: self._lose(centre, target, fut)
+            PEER_SILENCE_TIMEOUT_S,
+            lambda: self._fail_if_cut(centre, target, fut),
         )
         return fut
 
-    def _lose(
+    def _fail_if_cut(
         self,
         centre: str,
         target: _lab_node.LabNode,
         fut: "decisions.Future[typing.Any]",
     ) -> None:
-        """Ends a request over a stream that is silent."""
+        """Fails a pending request if the network between its nodes is cut."""
         if fut.done():
             return
         if self.net.is_cut(centre, target.centre):
@@ -200,7 +213,8 @@
             decisions.reject(fut, lost)
             return
         self.timers.after(
-            PEER_SILENCE_TIMEOUT_S, lambda: self._lose(centre, target, fut)
+            PEER_SILENCE_TIMEOUT_S,
+            lambda: self._fail_if_cut(centre, target, fut),
         )
 
     def ask_opinions(
@@ -211,7 +225,15 @@
         term: int,
         enough: Callable[[set[str]], bool],
     ) -> "decisions.Future[set[str]]":
-        """Asks the other nodes whether the primary is gone."""
+        """Asks the other nodes whether they suspect the primary as well.
+
+        Args:
+            asker: The node that asks.
+            database: The database of the primary.
+            member: Name of the primary.
+            term: The term of the primary.
+            enough: Tells whether the votes so far are sufficient.
+        """
         futs = []
         for node in self.nodes_by_name.values():
             if node is asker:
@@ -222,7 +244,9 @@
             call = self.call(asker.centre, node, ask)
             futs.append(decisions.with_timeout(asker.timers, 0.3, call))
 
-        def union(done: "list[decisions.Settled[set[str]]]") -> set[str]:
+        def collect_votes(
+            done: "list[decisions.Settled[set[str]]]",
+        ) -> set[str]:
             votes: set[str] = set()
             for each in done:
                 if each.failure is None:
@@ -231,33 +255,33 @@
 
         def flow() -> "decisions.Flow[set[str]]":
             settled = yield decisions.settle_all(
-                futs, lambda done: enough(union(done))
+                futs, lambda done: enough(collect_votes(done))
             )
-            return union(settled)
+            return collect_votes(settled)
 
         return decisions.start(flow())
 
     def publish(
         self, source: _lab_node.LabNode, record: decisions.Record
     ) -> None:
-        """Spreads a record to every node that can be reached."""
-        source.take(record)
+        """Sends a record to every reachable node."""
+        source.apply_record(record)
         for node in self.nodes_by_name.values():
             if not self.net.is_cut(source.centre, node.centre):
                 delay = self.net.delay(source.centre, node.centre)
-                node.timers.after(delay, lambda n=node: n.take(record))  # type: ignore[misc]
+                node.timers.after(delay, lambda n=node: n.apply_record(record))  # type: ignore[misc]
 
     def sync_records(self) -> None:
-        """Lets every node that reaches the store learn the records."""
+        """Applies the stored record at every node that reaches the store."""
         entry = self.store.entries.get(decisions.record_key(DATABASE))
         if entry is None:
             return
         for node in self.nodes_by_name.values():
             if node.store.reachable:
-                node.take(decisions.decode_record(entry.value))
+                node.apply_record(decisions.decode_record(entry.value))
 
     def stored(self) -> list[tuple[str, int]]:
-        """Returns the log of the present primary."""
+        """Returns the log of the current primary, as pairs of key and value."""
         log = self.primary().replica.log
         pairs = []
         for entry in log:
@@ -268,5 +292,5 @@
         return pairs
 
     def verdict(self) -> _history.Verdict:
-        """Returns how often each promise was broken so far."""
+        """Counts the violations of consistency guarantees so far."""
         return _history.check(self.operations, self.stored())
--- a/packages/standins/src/ferry_standins/_lab_node.py
+++ b/packages/standins/src/ferry_standins/_lab_node.py
@@ -1,4 +1,4 @@
-"""One node's real decisions on virtual members."""
+"""One node of a simulation, with real decisions and virtual members."""
 
 from collections.abc import Callable
 import itertools
@@ -18,11 +18,12 @@
 if typing.TYPE_CHECKING:
     from ferry_standins import _lab
 
+# How long a check of an idle stream to a peer waits for a sign of life.
 PEER_CHECK_TIMEOUT_S = 0.4
 
 
 class LabNode:
-    """One node's decisions."""
+    """The watch, member services and dispatcher of one node."""
 
     def __init__(
         self, lab: "_lab.Lab", centre: str, node: decisions.Node
@@ -71,8 +72,8 @@
         )
         self.timers.on_process_pause(self.watch.note_process_pause)
 
-    def take(self, record: decisions.Record) -> None:
-        """Takes in a record."""
+    def apply_record(self, record: decisions.Record) -> None:
+        """Applies a record if it is newer than the known one."""
         if record.newer_than(self.record):
             self.record = record
             self.watch.note_record(record)
@@ -85,7 +86,7 @@
         req: _messages.ExecuteRequest,
         sink: Callable[[bytes], object] | None,
     ) -> "decisions.Future[_messages.ExecuteReply]":
-        """Runs a request for a member that this node serves."""
+        """Executes a request for a member that this node serves."""
         service = self.services.get(req.member)
         if service is None:
             name = decisions.NO_SERVING_NODE.name
@@ -95,7 +96,7 @@
     def position(
         self, req: _messages.PositionRequest
     ) -> "decisions.Future[_messages.PositionReply]":
-        """Proves the primary's position."""
+        """Returns the primary's position, after it proves that it leads."""
         service = self.services.get(req.member)
         return _serving.answer_position(service, req)
 
@@ -119,7 +120,10 @@
         )
 
     def _rank(self) -> int:
-        """Returns this node's turn; the primary's own node comes last."""
+        """Returns this node's rank among the nodes that may act.
+
+        The node that serves the primary comes last.
+        """
         if self.record is not None and self.record.primary in self.services:
             return len(self._lab.plan.centres) - 1
         return self._lab.plan.centres.index(self.centre) % 2
@@ -145,7 +149,7 @@
 
 
 class _LabPeers:
-    """Requests from one node to the others."""
+    """Carries requests from one node to the others."""
 
     def __init__(self, lab: "_lab.Lab", centre: str) -> None:
         self._lab = lab
@@ -157,7 +161,7 @@
         message: _messages.Message,
         on_part: Callable[[bytes], object] | None = None,
     ) -> "decisions.Future[typing.Any]":
-        """Sends a request; fails with `PeerLostError`."""
+        """Sends a request. The future fails with `PeerLostError`."""
         target = self._lab.nodes_by_name[node.name]
 
         def work() -> "decisions.Future[typing.Any]":
@@ -168,19 +172,17 @@
         return self._lab.call(self._centre, target, work)
 
     def check(self, node: decisions.Node) -> "decisions.Future[None]":
-        """Shows life unless the way is cut, as a stream that was idle."""
+        """Checks an idle stream; fails after a timeout if it is cut."""
         lab = self._lab
         target = lab.nodes_by_name[node.name]
-        alive = lab.call(
-            self._centre, target, lambda: decisions.completed(None)
-        )
-        out: decisions.Future[None] = decisions.Future()
-        decisions.forward(alive, out)
+        pong = lab.call(self._centre, target, lambda: decisions.completed(None))
+        checked: decisions.Future[None] = decisions.Future()
+        decisions.forward(pong, checked)
         lost = _peers.PeerLostError("shows no life", was_sent=False)
         lab.timers.after(
-            PEER_CHECK_TIMEOUT_S, lambda: decisions.reject(out, lost)
+            PEER_CHECK_TIMEOUT_S, lambda: decisions.reject(checked, lost)
         )
-        return out
+        return checked
 
     def tell(self, node: decisions.Node, message: _messages.Message) -> None:
-        """Sends nothing: the lab has no one-way messages."""
+        """Ignores the message: simulations have no one-way messages."""
--- a/packages/standins/src/ferry_standins/_lab_session.py
+++ b/packages/standins/src/ferry_standins/_lab_session.py
@@ -1,4 +1,4 @@
-"""Callers of the lab: sessions that move from node to node."""
+"""Sessions of simulated callers, which move from node to node."""
 
 import typing
 
@@ -13,7 +13,14 @@
 
 
 class LabSession:
-    """One session: a caller that moves from node to node."""
+    """The session of one caller that moves from node to node.
+
+    Attributes:
+        name: The session's name, which is also the key that it writes.
+        state: Its floors and its maximum staleness.
+        last_value: The last value that it wrote.
+        latencies: Durations of successful requests, in seconds.
+    """
 
     def __init__(
         self,
@@ -31,27 +38,27 @@
         self._has_token = False
         staleness = lab.contracts.get(customer).staleness_s
         self.state = decisions.SessionState(staleness_s=staleness)
-        self._wrote_at = float("-inf")
-        self.next_value = 0
+        self._last_write_at = float("-inf")
+        self.last_value = 0
         self.latencies: list[float] = []
 
     def forget(self) -> None:
-        """Comes back as a new session that carries no token."""
+        """Drops the session token, as a caller that reconnects."""
         self.state = attrs.evolve(self.state, floors=())
         self._has_token = False
 
     def write(
         self, node: _lab_node.LabNode
     ) -> "decisions.Future[_history.Operation]":
-        """Writes the session's own key, with a new value."""
-        self.next_value += 1
-        request = ["w", self.name, self.next_value]
-        return decisions.start(self._run(node, request, self.next_value))
+        """Writes a new value to the session's own key."""
+        self.last_value += 1
+        request = ["w", self.name, self.last_value]
+        return decisions.start(self._run(node, request, self.last_value))
 
     def read(
         self, node: _lab_node.LabNode, key: str = ""
     ) -> "decisions.Future[_history.Operation]":
-        """Reads a key, its own by default."""
+        """Reads a key; the session's own one by default."""
         return decisions.start(self._run(node, ["r", key or self.name], None))
 
     def _run(
@@ -68,9 +75,11 @@
                 self.state, floors=((_lab.DATABASE, decisions.ZERO_POSITION),)
             )
         elif is_read and self.state.staleness_s > 0 and not self._has_token:
-            found = yield node.dispatcher.find_floor(_lab.DATABASE, self.name)
-            if found is not None:
-                self.state = self.state.with_floor(_lab.DATABASE, found)
+            session_floor = yield node.dispatcher.find_floor(
+                _lab.DATABASE, self.name
+            )
+            if session_floor is not None:
+                self.state = self.state.with_floor(_lab.DATABASE, session_floor)
                 self._has_token = True
         floor = self.state.floor(_lab.DATABASE)
         req = _messages.ExecuteRequest(
@@ -90,8 +99,8 @@
             cancel_key=0,
             payload=msgpack.packb(request),
         )
-        since = begun - self._wrote_at
-        reply, _ = yield node.dispatcher.run(req, since, lambda _: None)
+        since_write_s = begun - self._last_write_at
+        reply, _ = yield node.dispatcher.run(req, since_write_s, lambda _: None)
         ended = lab.timers.now()
         outcome = decisions.Outcome.RAN
         if reply.reason:
@@ -99,10 +108,10 @@
         else:
             self.latencies.append(ended - begun)
             if not is_read:
-                self._wrote_at = ended
+                self._last_write_at = ended
             if reply.position:
-                seen = decisions.Position.from_text(reply.position)
-                self.state = self.state.with_floor(_lab.DATABASE, seen)
+                position = decisions.Position.from_text(reply.position)
+                self.state = self.state.with_floor(_lab.DATABASE, position)
         if value is None:
             value = msgpack.unpackb(reply.data) if not reply.reason else 0
         operation = _history.Operation(
--- a/packages/standins/src/ferry_standins/_log.py
+++ b/packages/standins/src/ferry_standins/_log.py
@@ -1,8 +1,8 @@
-"""A member's log, terms and replication, without any protocol.
+"""A member's log, terms and replication, independent of any protocol.
 
-`Replica` holds what survives a restart of a member: its log and what it has
-promised. `Group` carries entries from the primary to the others, late, never,
-or not at all, as its faults say.
+`Replica` holds the state that survives a restart of a member: its log and its
+promises. `Group` replicates entries from the primary to the other members and
+delays or drops them as its faults tell.
 """
 
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 class RefusedError(Exception):
-    """The member has promised otherwise."""
+    """The order contradicts the member's promises or its log."""
 
 
 @attrs.frozen(slots=True)
@@ -20,8 +20,8 @@
     """One statement of a log entry.
 
     Attributes:
-        sql: Its text.
-        values: Its parameters.
+        sql: The text of the statement.
+        values: The values of its parameters.
     """
 
     sql: str
@@ -34,7 +34,7 @@
 
     Attributes:
         term: The term of the primary that committed it.
-        statements: What it did.
+        statements: The statements that it ran.
     """
 
     term: int
@@ -48,16 +48,17 @@
     Attributes:
         name: The member's name.
         log: All entries.
-        applied: How many of them its reads show.
-        promised: The highest term it was fenced at.
-        promised_claim_id: The claim that it promised to.
+        applied: Number of entries that are visible to reads.
+        promised: The highest term that it was fenced at.
+        promised_claim_id: The claim that it promised this term to.
         term: The term that it follows or leads.
         start: The index at which that term began.
-        whole: The last term whose start its log has reached. Only in that
-            term does its log count when a successor is chosen.
+        complete_term: The last term whose start its log has reached. Its log
+            counts only in that term when a new primary is chosen.
         primary: The member that it follows; its own name if it leads.
         last_heard_at: When it last heard from its primary, in seconds.
-        cut: Entries that a promotion cut from its log.
+        truncated: Entries that the last change of primary removed from its
+            log.
     """
 
     name: str
@@ -67,42 +68,42 @@
     promised_claim_id: str = ""
     term: int = 0
     start: int = 0
-    whole: int = 0
+    complete_term: int = 0
     primary: str = ""
     last_heard_at: float = 0.0
-    cut: list[LogEntry] = attrs.field(factory=list)
+    truncated: list[LogEntry] = attrs.field(factory=list)
 
     @property
     def leads(self) -> bool:
-        """Whether it believes that it is the primary, unfenced."""
+        """Whether it considers itself the primary and is not fenced."""
         return self.primary == self.name and self.promised == self.term
 
     @property
     def received(self) -> decisions.Position:
-        """How much it holds of the history of its last whole term."""
-        return decisions.Position(self.whole, len(self.log))
+        """The end of its log, in its last complete term."""
+        return decisions.Position(self.complete_term, len(self.log))
 
     @property
-    def shown(self) -> decisions.Position:
-        """What its reads show, in its last whole term."""
-        return decisions.Position(self.whole, self.applied)
+    def applied_position(self) -> decisions.Position:
+        """The position visible to reads, in its last complete term."""
+        return decisions.Position(self.complete_term, self.applied)
 
     def status(
         self, now: float, owner: str, guests: int
     ) -> decisions.MemberStatus:
-        """Returns what the member says of itself.
+        """Returns the status that the member reports.
 
         Args:
-            now: The time in seconds.
+            now: The current time, in seconds.
             owner: The node that owns the member.
-            guests: Connections that another owner has left.
+            guests: Number of connections left over from another owner.
         """
         return decisions.MemberStatus(
             name=self.name,
             promised=self.promised,
             is_primary=self.leads,
             received=self.received,
-            applied=self.shown,
+            applied=self.applied_position,
             term=self.term,
             owner=owner,
             guests=guests,
@@ -113,7 +114,7 @@
         """Promises a term to a claim.
 
         Raises:
-            RefusedError: It has promised a later term, or this one to
+            RefusedError: It has promised a later term, or this term to
                 another claim.
         """
         if term < self.promised:
@@ -134,12 +135,12 @@
         self.promised = term
         self.term = term
         self.start = start
-        self.whole = term
+        self.complete_term = term
         self.primary = self.name
         self.applied = len(self.log)
 
     def follow(self, term: int, primary: str, common: int, start: int) -> bool:
-        """Becomes a replica; returns whether what it shows was cut.
+        """Becomes a replica of a primary.
 
         Args:
             term: The primary's term.
@@ -147,6 +148,9 @@
             common: How many entries it has in common with the primary.
             start: The index at which the term began.
 
+        Returns:
+            Whether entries that were already applied were removed.
+
         Raises:
             RefusedError: It has promised a later term.
         """
@@ -158,7 +162,7 @@
         self.term = term
         self.start = start
         self.primary = primary
-        self.cut = self.log[common:]
+        self.truncated = self.log[common:]
         del self.log[common:]
         was_truncated = self.applied > len(self.log)
         self.applied = min(self.applied, len(self.log))
@@ -166,15 +170,15 @@
         return was_truncated
 
     def _update_complete_term(self) -> None:
-        """Counts in the followed term once its start is reached."""
+        """Marks the followed term complete once its start is reached."""
         if len(self.log) >= self.start:
-            self.whole = self.term
+            self.complete_term = self.term
 
     def append(self, statements: tuple[LogStatement, ...]) -> None:
-        """Adds an entry as the primary.
+        """Appends an entry as the primary.
 
         Raises:
-            RefusedError: It does not lead.
+            RefusedError: It is not the primary.
         """
         if not self.leads:
             raise RefusedError("not the primary")
@@ -184,25 +188,35 @@
     def receive(
         self, term: int, primary: str, entries: list[LogEntry], base: int
     ) -> bool:
-        """Takes entries from a primary; returns whether it took them."""
+        """Appends the entries that are missing from the log.
+
+        Args:
+            term: The term of the sender.
+            primary: The name of the sender.
+            entries: Entries of the sender's log.
+            base: The index of the first of them.
+
+        Returns:
+            Whether they were accepted.
+        """
         if term < self.promised or term != self.term:
             return False
         if primary != self.primary or base > len(self.log):
             return False
-        fresh = entries[len(self.log) - base :]
-        self.log.extend(fresh)
+        missing = entries[len(self.log) - base :]
+        self.log.extend(missing)
         self._update_complete_term()
         return True
 
 
 @attrs.define
 class LinkFaults:
-    """What is wrong between members, and at each.
+    """Delays and cuts of the replication between members.
 
     Attributes:
         delay_s: Time for entries to reach a replica, in seconds.
-        apply_s: Time from receiving an entry to showing it, in seconds.
-        cut: Pairs of members between which nothing gets through.
+        apply_s: Time from receiving an entry to applying it, in seconds.
+        cut: Pairs of members that cannot reach each other.
     """
 
     delay_s: float = 0.002
@@ -211,7 +225,7 @@
 
 
 class Group:
-    """Replication between the members of one database."""
+    """Replicates entries between the members of one database."""
 
     def __init__(
         self,
@@ -234,24 +248,29 @@
 
         Args:
             member: The member.
-            on_apply: Called with the index up to which it may apply.
+            on_apply: Called with the index up to which the member may apply
+                entries.
         """
         self._members[member.name] = member
         self._on_apply[member.name] = on_apply
 
     def subscribe(self, on_received: Callable[[str], object]) -> None:
-        """Calls back with a member's name after it received entries."""
+        """Registers a callback for members that received entries.
+
+        Args:
+            on_received: Called with the name of the member.
+        """
         self._on_received.append(on_received)
 
     def set_down(self, name: str, down: bool) -> None:
-        """Stops or starts a member's part in replication."""
+        """Excludes a member from replication, or includes it again."""
         (self._down.add if down else self._down.discard)(name)
 
     def common_prefix(self, name: str, primary: str) -> int:
         """Returns how many entries a member has in common with a primary.
 
         Raises:
-            RefusedError: The primary is out of its reach.
+            RefusedError: The member cannot reach the primary.
         """
         target, source = self._members[name], self._members[primary]
         if not self._reachable(source, target):
@@ -263,8 +282,8 @@
             count += 1
         return count
 
-    def committed(self, name: str) -> None:
-        """Sends what a primary has committed."""
+    def send_committed(self, name: str) -> None:
+        """Sends the committed entries of a primary to the other members."""
         self._send_from(self._members[name])
 
     def close(self) -> None:
@@ -296,10 +315,10 @@
         term = source.term
         self._timers.after(
             self.faults.delay_s,
-            lambda: self._arrive(source, target, term, entries, base),
+            lambda: self._deliver(source, target, term, entries, base),
         )
 
-    def _arrive(
+    def _deliver(
         self,
         source: Replica,
         target: Replica,
@@ -315,8 +334,8 @@
         for callback in self._on_received:
             callback(target.name)
         index = len(target.log)
-        apply = self._on_apply[target.name]
+        on_apply = self._on_apply[target.name]
         if self.faults.apply_s <= 0:
-            apply(index)
+            on_apply(index)
         else:
-            self._timers.after(self.faults.apply_s, lambda: apply(index))
+            self._timers.after(self.faults.apply_s, lambda: on_apply(index))
--- a/packages/standins/src/ferry_standins/_member.py
+++ b/packages/standins/src/ferry_standins/_member.py
@@ -1,4 +1,4 @@
-"""A stand-in for one database member: SQLite in memory behind the protocol."""
+"""A fake database member: in-memory SQLite behind the wire protocol."""
 
 import collections
 from collections.abc import Callable
@@ -14,16 +14,17 @@
 from ferry_standins import _session
 from ferry_standins import _sql
 
+# How long a statement waits for the open transaction of another session.
 LOCK_TIMEOUT_S = 5.0
 
 
 @attrs.define
 class MemberFaults:
-    """What is wrong with a member at present.
+    """The faults that a member currently shows.
 
     Attributes:
-        silent: Whether it takes requests and answers none.
-        statement_s: Time that a statement takes, in seconds.
+        silent: Whether it accepts requests without answering any.
+        statement_s: Delay before each statement runs, in seconds.
     """
 
     silent: bool = False
@@ -31,7 +32,16 @@
 
 
 class Member:
-    """One member: its tables, its log and its connections."""
+    """A member with its tables, its log and its connections.
+
+    Attributes:
+        replica: Its log and its promises, which survive a restart.
+        faults: The faults that it currently shows.
+        sessions: Open connections.
+        peak_connections: Largest number of open connections so far.
+        owner_id: The node that owns the member; empty for none.
+        waits: Control statements that wait for an index, with that index.
+    """
 
     def __init__(
         self,
@@ -67,27 +77,27 @@
         )
 
     def stop(self) -> None:
-        """Crashes the member: its connections end and its port closes."""
+        """Crashes the member, which closes its connections and its port."""
         self.group.set_down(self.name, True)
         self._listener.close()
         for session in list(self.sessions):
             session.close()
 
     def restart(self) -> None:
-        """Starts the member again on its old port, with its log."""
+        """Restarts the member on its old port, with its log."""
         self.group.set_down(self.name, False)
         self._listener = runtime.Listener(
             self.loop, "127.0.0.1", self.port, self._accept
         )
 
     def status(self) -> decisions.MemberStatus:
-        """Returns what the member says of itself."""
+        """Returns the status that the member reports."""
         return self.replica.status(
             self.loop.now(), self.owner_id, self.guests()
         )
 
     def apply_to(self, index: int) -> None:
-        """Shows entries up to an index."""
+        """Applies log entries to the tables, up to an index."""
         replica = self.replica
         if replica.leads or self._lock_holder is not None:
             return
@@ -97,7 +107,7 @@
             replica.applied += 1
 
     def rebuild(self) -> None:
-        """Makes the tables anew from the log, after a cut."""
+        """Rebuilds the tables after applied entries were removed."""
         self._db.close()
         self._db = self._open()
         count = len(self.replica.log)
@@ -105,32 +115,35 @@
         self.apply_to(count)
 
     def own(self, owner: str) -> None:
-        """Takes an owner, or is released by its former one."""
-        taken = bool(self.owner_id) and bool(owner)
-        if taken and owner != self.owner_id:
+        """Sets the owner; an empty one releases the member.
+
+        A change to another owner closes the connections of callers.
+        """
+        is_transfer = bool(self.owner_id) and bool(owner)
+        if is_transfer and owner != self.owner_id:
             self.drop_callers()
         self.owner_id = owner
 
     def cancel(self, process_id: int) -> None:
-        """Ends the statement of a connection, if it has not run yet."""
+        """Cancels the statement of a connection if it has not run yet."""
         for session in self.sessions:
             if session.process_id == process_id:
                 session.cancel()
 
     def is_running(self, process_id: int) -> bool:
-        """Whether a connection runs a statement."""
+        """Returns whether a connection is running a statement."""
         return any(
             s.process_id == process_id and s.is_running for s in self.sessions
         )
 
     def guests(self) -> int:
-        """Returns how many connections another owner has left."""
+        """Returns the number of connections left over from other owners."""
         return sum(
             not s.is_control and s.owner != self.owner_id for s in self.sessions
         )
 
     def drop_callers(self) -> None:
-        """Ends the connections of callers, as a change of role does."""
+        """Closes the connections of callers, as a change of role does."""
         for session in list(self.sessions):
             if not session.is_control:
                 session.close()
@@ -138,16 +151,16 @@
     def with_lock(
         self, session: "_session.Session", work: Callable[[], None]
     ) -> None:
-        """Runs work once no other session has a transaction open."""
+        """Runs a callable once no other session has an open transaction."""
         if self._lock_holder is None or self._lock_holder is session:
             work()
             return
         self._lock_queue.append((session, work))
         self.loop.after(
-            LOCK_TIMEOUT_S, lambda: self._lock_expired(session, work)
+            LOCK_TIMEOUT_S, lambda: self._time_out_lock(session, work)
         )
 
-    def _lock_expired(
+    def _time_out_lock(
         self, session: "_session.Session", work: Callable[[], None]
     ) -> None:
         if (session, work) in self._lock_queue:
@@ -155,7 +168,11 @@
             session.fail_lock_timeout()
 
     def set_lock_holder(self, session: "_session.Session | None") -> None:
-        """Sets the session that has a transaction open."""
+        """Sets the session that has an open transaction.
+
+        Without one, the member applies outstanding entries and runs queued
+        statements.
+        """
         self._lock_holder = session
         if session is None:
             self.apply_to(len(self.replica.log))
@@ -164,14 +181,14 @@
             work()
 
     def lock_holder(self) -> "_session.Session | None":
-        """Returns the session that has a transaction open."""
+        """Returns the session that has an open transaction."""
         return self._lock_holder
 
     def run(self, sql: str, values: tuple[typing.Any, ...]) -> _sql.Result:
         """Runs one statement on the tables.
 
         Raises:
-            _sql.SqlError: SQLite refused it.
+            _sql.SqlError: SQLite rejected the statement.
         """
         try:
             cursor = self._db.execute(_sql.PARAMETER.sub(r"?\1", sql), values)
@@ -193,9 +210,9 @@
             self.answer_due_waits()
 
     def answer_due_waits(self) -> None:
-        """Answers the waits whose index has been received."""
-        have = len(self.replica.log)
-        due = [w for w in self.waits if w[0] <= have]
-        self.waits = [w for w in self.waits if w[0] > have]
+        """Replies to the waits whose index has been received."""
+        received_count = len(self.replica.log)
+        due = [w for w in self.waits if w[0] <= received_count]
+        self.waits = [w for w in self.waits if w[0] > received_count]
         for _, session in due:
             session.answer_status()
--- a/packages/standins/src/ferry_standins/_session.py
+++ b/packages/standins/src/ferry_standins/_session.py
@@ -1,4 +1,4 @@
-"""One connection to a stand-in member: its statements and transaction."""
+"""One connection to a fake member, with its statements and transaction."""
 
 import collections
 from collections.abc import Callable
@@ -19,13 +19,15 @@
 if typing.TYPE_CHECKING:
     from ferry_standins import _member
 
+# SQLSTATE codes of replies.
 READ_ONLY = "25006"
 STALE_TERM = "57P04"
 NOT_OWNER = "57P05"
 CANCELED = "57014"
 REFUSED = "55000"
-TOO_MANY = "53300"
+TOO_MANY_CONNECTIONS = "53300"
 LOCK_TIMEOUT = "55P03"
+# Users whose names end in this may run control statements.
 CONTROL_SUFFIX = "-control"
 _CONTROL = re.compile(
     r"select\s+" + node.CONTROL_FUNCTION + r"\('(.*)'\)\s*;?\s*$", re.I | re.S
@@ -34,8 +36,8 @@
 
 
 @attrs.define(slots=True)
-class _Prepared:
-    """The unnamed statement or portal of a session."""
+class _Portal:
+    """A statement with bound parameters."""
 
     sql: str = ""
     values: tuple[typing.Any, ...] = ()
@@ -52,38 +54,38 @@
         self._decoder = _wire.CallerDecoder()
         self._started = False
         self._queue: collections.deque[_wire.Message] = collections.deque()
-        self._working = False
-        self._status = "I"
+        self._is_working = False
+        self._tx_status = "I"
         self._read_only = False
-        self._entry: list[_log.LogStatement] = []
+        self._uncommitted: list[_log.LogStatement] = []
         self._statements: dict[str, str] = {}
         self._types: dict[str, list[int]] = {}
-        self._portals: dict[str, _Prepared] = {}
-        self._skipping = False
+        self._portals: dict[str, _Portal] = {}
+        self._skips_to_sync = False
         self._canceled = False
-        self._position = ""
+        self._sent_position = ""
         self._term = 0
         self.process_id = next(member.process_ids)
         self.is_control = False
         self.owner = ""
         stream.on_data = self._receive
-        stream.on_closed = lambda _: self._gone()
+        stream.on_closed = lambda _: self._on_closed()
 
     @property
     def is_running(self) -> bool:
-        """Whether a statement is under way."""
-        return self._working
+        """Whether a statement is running or waiting for the lock."""
+        return self._is_working
 
     def blackhole(self) -> None:
-        """Takes and gives nothing from now on, as if the way were lost."""
+        """Stops reading and replying, as if the network dropped all packets."""
         self._stream.pause()
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Closes the connection."""
         self._stream.close()
-        self._gone()
+        self._on_closed()
 
-    def _gone(self) -> None:
+    def _on_closed(self) -> None:
         self._member.sessions.discard(self)
         if self._member.lock_holder() is self:
             self._roll_back()
@@ -100,7 +102,7 @@
         except _wire.MalformedMessageError:
             self.close()
             return
-        self._work()
+        self._process_queue()
 
     def _start(self, msg: _wire.Message) -> None:
         if isinstance(msg, _wire.CancelRequest):
@@ -112,10 +114,10 @@
             return
         member = self._member
         self.is_control = msg.params.get("user", "").endswith(CONTROL_SUFFIX)
-        given = int(msg.params.get(_wire.TERM_PARAMETER, "0"))
-        self._term = given or member.replica.term
+        term = int(msg.params.get(_wire.TERM_PARAMETER, "0"))
+        self._term = term or member.replica.term
         if len(member.sessions) >= member.max_connections:
-            self._refuse(TOO_MANY, "too many connections")
+            self._refuse(TOO_MANY_CONNECTIONS, "too many connections")
             return
         if not self.is_control and self._is_stale():
             self._refuse(STALE_TERM, "stale term")
@@ -143,17 +145,17 @@
     def _is_stale(self) -> bool:
         return self._term != self._member.replica.term
 
-    def _work(self) -> None:
-        """Takes queued messages in order, one after another."""
-        while self._queue and not self._working:
-            self._take(self._queue.popleft())
+    def _process_queue(self) -> None:
+        """Handles queued messages in order, one at a time."""
+        while self._queue and not self._is_working:
+            self._handle(self._queue.popleft())
 
-    def _take(self, msg: _wire.Message) -> None:
-        if self._skipping and not isinstance(msg, _wire.Sync):
+    def _handle(self, msg: _wire.Message) -> None:
+        if self._skips_to_sync and not isinstance(msg, _wire.Sync):
             return
         match msg:
             case _wire.Query():
-                self._simple(msg.query_string)
+                self._run_query(msg.query_string)
             case _wire.Parse():
                 self._statements[msg.statement] = msg.query
                 self._types[msg.statement] = msg.param_types
@@ -167,33 +169,33 @@
             case _wire.Close():
                 self._stream.send(_wire.CLOSE_COMPLETE_BYTES)
             case _wire.Sync():
-                self._skipping = False
+                self._skips_to_sync = False
                 self._ready()
             case _wire.Terminate():
                 self.close()
 
-    def _simple(self, sql: str) -> None:
+    def _run_query(self, sql: str) -> None:
         found = _CONTROL.match(sql)
         if found and self.is_control:
             _control.run(self._member, self, found[1].replace("''", "'"))
             return
-        parts = [p.strip() for p in sql.split(";") if p.strip()]
-        if not parts:
+        statements = [s.strip() for s in sql.split(";") if s.strip()]
+        if not statements:
             self._stream.send(_wire.EMPTY_QUERY)
             self._ready()
             return
-        self._begin_work(lambda: self._run_parts(parts))
+        self._begin_work(lambda: self._run_statements(statements))
 
-    def _run_parts(self, parts: list[str]) -> None:
-        for part in parts:
-            if not self._run(part, (), described=False):
+    def _run_statements(self, statements: list[str]) -> None:
+        for statement in statements:
+            if not self._run(statement, (), described=False):
                 break
         self._end_work()
         self._ready()
 
     def _begin_work(self, work: Callable[[], None]) -> None:
-        """Runs work after the statement's time and the member's lock."""
-        self._working = True
+        """Runs a callable after the statement's delay, with the lock free."""
+        self._is_working = True
 
         def locked() -> None:
             self._member.with_lock(self, work)
@@ -204,30 +206,30 @@
             locked()
 
     def cancel(self) -> None:
-        """Ends the statement that is under way, if it has not run yet."""
-        if self._working:
+        """Cancels the current statement if it has not run yet."""
+        if self._is_working:
             self._canceled = True
 
     def _end_work(self) -> None:
-        self._working = False
+        self._is_working = False
         if self._queue:
-            self._member.loop.call_soon(self._work)
+            self._member.loop.call_soon(self._process_queue)
 
     def fail_lock_timeout(self) -> None:
-        """Ends a statement that waited too long for the lock."""
+        """Fails a statement that waited too long for the lock."""
         self._fail(LOCK_TIMEOUT, "lock timeout")
         self._end_work()
-        if not self._skipping:
+        if not self._skips_to_sync:
             self._ready()
 
     def _bind(self, msg: _wire.Bind) -> None:
         sql = self._statements.get(msg.statement)
         if sql is None:
             self._fail("26000", f"no statement {msg.statement!r}")
-            self._skipping = True
+            self._skips_to_sync = True
             return
         values = _sql.bound_values(msg, self._types.get(msg.statement, []))
-        self._portals[msg.portal] = _Prepared(sql, values)
+        self._portals[msg.portal] = _Portal(sql, values)
         self._stream.send(_wire.BIND_COMPLETE_BYTES)
 
     def _describe(self, msg: _wire.Describe) -> None:
@@ -242,12 +244,12 @@
         portal = self._portals.get(msg.portal)
         if portal is None:
             self._fail("34000", "no portal")
-            self._skipping = True
+            self._skips_to_sync = True
             return
 
         def work() -> None:
             if not self._run(portal.sql, portal.values, described=True):
-                self._skipping = True
+                self._skips_to_sync = True
             self._end_work()
 
         self._begin_work(work)
@@ -255,7 +257,7 @@
     def _run(
         self, sql: str, values: tuple[typing.Any, ...], described: bool
     ) -> bool:
-        """Runs one statement and sends its result; returns its success."""
+        """Runs one statement, sends its result and returns its success."""
         if self._stream.closed or self._member.faults.silent:
             return False
         try:
@@ -276,8 +278,8 @@
         return True
 
     def _check_canceled(self) -> None:
-        canceled, self._canceled = self._canceled, False
-        if canceled:
+        was_canceled, self._canceled = self._canceled, False
+        if was_canceled:
             raise _sql.SqlError(CANCELED, "canceling statement")
 
     def _check_term(self) -> None:
@@ -288,14 +290,14 @@
         self, sql: str, values: tuple[typing.Any, ...]
     ) -> _sql.Result:
         word = _sql.first_word(sql)
-        if self._status == "E" and word not in ("ROLLBACK", "COMMIT"):
+        if self._tx_status == "E" and word not in ("ROLLBACK", "COMMIT"):
             raise _sql.SqlError("25P02", "transaction is aborted")
         if word in ("BEGIN", "START"):
             return self._begin(sql)
         if word in ("COMMIT", "END", "ROLLBACK", "ABORT"):
             return self._finish(word)
         if word in ("DISCARD", "SET", "RESET"):
-            if word == "DISCARD" and self._status != "I":
+            if word == "DISCARD" and self._tx_status != "I":
                 self._roll_back()
             return _sql.Result([], [], word)
         if word in _WRITES:
@@ -303,23 +305,23 @@
         return self._member.run(sql, values)
 
     def _begin(self, sql: str) -> _sql.Result:
-        if self._status == "I":
-            self._status = "T"
+        if self._tx_status == "I":
+            self._tx_status = "T"
             self._read_only = "READ ONLY" in sql.upper()
             self._member.run("BEGIN", ())
             self._member.set_lock_holder(self)
         return _sql.Result([], [], "BEGIN")
 
     def _finish(self, word: str) -> _sql.Result:
-        if self._status == "I":
+        if self._tx_status == "I":
             return _sql.Result([], [], word)
-        commits = word in ("COMMIT", "END") and self._status == "T"
+        commits = word in ("COMMIT", "END") and self._tx_status == "T"
         if not commits:
             self._roll_back()
             return _sql.Result([], [], "ROLLBACK")
-        entry, self._entry = self._entry, []
+        entry, self._uncommitted = self._uncommitted, []
         self._member.run("COMMIT", ())
-        self._status = "I"
+        self._tx_status = "I"
         if entry:
             self._commit(entry)
         self._member.set_lock_holder(None)
@@ -330,21 +332,21 @@
             raise _sql.SqlError(READ_ONLY, "cannot write on a replica")
         result = self._member.run(sql, values)
         statement = _log.LogStatement(_sql.PARAMETER.sub(r"?\1", sql), values)
-        if self._status == "T":
-            self._entry.append(statement)
+        if self._tx_status == "T":
+            self._uncommitted.append(statement)
         else:
             self._commit([statement])
         return result
 
     def _commit(self, entry: list[_log.LogStatement]) -> None:
         self._member.replica.append(tuple(entry))
-        self._member.group.committed(self._member.name)
+        self._member.group.send_committed(self._member.name)
 
     def _roll_back(self) -> None:
-        self._entry = []
-        if self._status != "I":
+        self._uncommitted = []
+        if self._tx_status != "I":
             self._member.run("ROLLBACK", ())
-        self._status = "I"
+        self._tx_status = "I"
         self._read_only = False
         if self._member.lock_holder() is self:
             self._member.set_lock_holder(None)
@@ -360,36 +362,36 @@
         self._stream.send(b"".join(parts))
 
     def _fail(self, sqlstate: str, message: str) -> None:
-        if self._status == "T":
-            self._status = "E"
+        if self._tx_status == "T":
+            self._tx_status = "E"
         self._stream.send(_wire.encode_sqlstate(sqlstate, message))
 
     def _ready(self) -> None:
         if self._member.faults.silent:
             return
-        if self._status == "I":
+        if self._tx_status == "I":
             self._read_only = False
-        position = str(self._member.replica.shown)
-        if position != self._position and not self.is_control:
-            self._position = position
+        position = str(self._member.replica.applied_position)
+        if position != self._sent_position and not self.is_control:
+            self._sent_position = position
             self._stream.send(
                 _wire.encode_parameter(_wire.POSITION_PARAMETER, position)
             )
-        self._stream.send(_wire.encode_ready(self._status))
+        self._stream.send(_wire.encode_ready(self._tx_status))
 
     def refuse_control(self, detail: str) -> None:
-        """Answers a control statement with a refusal."""
+        """Replies to a control statement with an error."""
         self._fail(REFUSED, detail)
         self._ready()
 
     def answer_status(self) -> None:
-        """Answers a control statement with the member's status."""
+        """Replies to a control statement with the member's status."""
         if self._stream.closed or self._member.faults.silent:
             return
         self.answer_value(decisions.unstructure(self._member.status()))
 
     def answer_value(self, value: object) -> None:
-        """Answers a control statement with a JSON value."""
+        """Replies to a control statement with a JSON value."""
         self._send_rows(
             _sql.Result(["value"], [(json.dumps(value),)], "SELECT 1")
         )
--- a/packages/standins/src/ferry_standins/_sql.py
+++ b/packages/standins/src/ferry_standins/_sql.py
@@ -1,4 +1,4 @@
-"""Small helpers between SQL texts, SQLite and the protocol's values."""
+"""Converts between SQL texts, SQLite values and the wire protocol."""
 
 import re
 import struct
@@ -15,7 +15,7 @@
     """A statement failed.
 
     Attributes:
-        sqlstate: The code for the caller.
+        sqlstate: The SQLSTATE that the caller receives.
     """
 
     def __init__(self, sqlstate: str, message: str) -> None:
@@ -28,9 +28,9 @@
     """The result of one statement.
 
     Attributes:
-        columns: Names of its columns; empty where it returns none.
-        rows: Its rows.
-        tag: Its command tag.
+        columns: Names of the columns; empty if the statement returns none.
+        rows: The rows, as SQLite returns them.
+        tag: The command tag of the reply.
     """
 
     columns: list[str]
@@ -45,7 +45,13 @@
 
 
 def command_tag(sql: str, changed: int, rows: int) -> str:
-    """Returns the command tag of a statement that was run."""
+    """Returns the command tag of a completed statement.
+
+    Args:
+        sql: The text of the statement.
+        changed: SQLite's number of changed rows; negative if unknown.
+        rows: Number of returned rows.
+    """
     word = first_word(sql)
     if word == "INSERT":
         return f"INSERT 0 {max(changed, rows, 0)}"
@@ -62,7 +68,7 @@
 
 
 def type_oid(value: typing.Any) -> int:
-    """Returns the type of a result's column."""
+    """Returns the type OID of a value in a result."""
     if isinstance(value, int):
         return INT8_OID
     if isinstance(value, float):
@@ -80,7 +86,13 @@
 
 
 def parameter_value(raw: bytes | None, binary: bool, oid: int) -> typing.Any:
-    """Returns a parameter as SQLite takes it."""
+    """Converts a parameter to a value for SQLite.
+
+    Args:
+        raw: The parameter as it was sent; `None` for NULL.
+        binary: Whether it is in the binary format.
+        oid: Its declared type; 0 if unknown.
+    """
     if raw is None:
         return None
     if oid in _INTEGER_OIDS:
@@ -93,7 +105,12 @@
 def bound_values(
     msg: _wire.Bind, declared: list[int]
 ) -> tuple[typing.Any, ...]:
-    """Returns the parameters of a Bind as SQLite takes them."""
+    """Converts the parameters of a Bind to values for SQLite.
+
+    Args:
+        msg: The Bind message.
+        declared: Type OIDs from the Parse message; may be shorter.
+    """
     count = len(msg.param_values)
     formats = msg.param_formats or [0]
     if len(formats) == 1:
--- a/packages/standins/src/ferry_standins/_swarm.py
+++ b/packages/standins/src/ferry_standins/_swarm.py
@@ -1,7 +1,7 @@
-"""Many nodes' membership and configuration spread, in virtual time.
+"""Simulates membership and directory sync of many nodes in virtual time.
 
-Each node is the real `Membership` and the real `Spreader`; only the messages
-between them are carried by a fake network with delay, loss and cuts.
+Each node runs the real `Membership` and the real `DirectorySync`. The store and
+the network between the nodes, with its delay, loss and cuts, are fakes.
 """
 
 from collections.abc import Callable
@@ -21,24 +21,27 @@
 from ferry_standins import _virtual
 from ferry_standins import _virtual_store
 
+# Size of the IP and UDP, or IP and TCP, headers of a packet.
 UDP_HEADER_BYTES = 28
 TCP_HEADER_BYTES = 40
-REGIONS = 3
+REGION_COUNT = 3
+# How long a request to a peer waits for its reply.
 PEER_TIMEOUT_S = 1.0
 
 
 @attrs.frozen
 class SwarmPlan:
-    """What a swarm consists of.
+    """The topology and the network of a swarm.
 
     Attributes:
-        nodes: How many nodes.
-        centres: How many data centres, spread over three regions.
+        nodes: Number of nodes.
+        centres: Number of data centres, distributed over three regions.
         local_delay_s: One-way delay inside a data centre, in seconds.
-        intra_region_delay_s: The same between data centres of a region.
-        inter_region_delay_s: The same between regions.
+        intra_region_delay_s: One-way delay between data centres of a region,
+            in seconds.
+        inter_region_delay_s: One-way delay between regions, in seconds.
         loss: Share of the datagrams that are lost.
-        spreads: Whether configuration is spread too.
+        spreads: Whether the nodes also run directory sync.
     """
 
     nodes: int = 410
@@ -51,7 +54,13 @@
 
 
 class SwarmNode:
-    """One node's membership, and its spreader where asked for."""
+    """The membership of one node, and its directory sync if enabled.
+
+    Attributes:
+        alive: Whether the node runs.
+        bytes_sent: Bytes of probe messages sent, with headers.
+        stream_bytes: Bytes of messages sent over streams, with headers.
+    """
 
     def __init__(
         self, swarm: "Swarm", node: decisions.Node, rng: random.Random
@@ -70,7 +79,7 @@
             node,
             decisions.MembershipSettings(),
             rng,
-            self._changed,
+            self._on_membership_changed,
         )
         self.timers.on_process_pause(self.view.note_process_pause)
         self.store = _virtual_store.VirtualStore(self.timers, swarm.store)
@@ -86,7 +95,7 @@
             return
         size = len(_probes.encode_probe(message)) + UDP_HEADER_BYTES
         self.bytes_sent += size
-        self.swarm.carry_probe(self, node.name, message)
+        self.swarm.deliver_probe(self, node.name, message)
 
     def call(
         self,
@@ -94,7 +103,7 @@
         message: _messages.Message,
         on_part: Callable[[bytes], object] | None = None,
     ) -> "decisions.Future[typing.Any]":
-        """Sends a request to another node's spreader."""
+        """Sends a request to another node's directory sync."""
         fut: decisions.Future[typing.Any] = decisions.Future()
         self._count(message)
 
@@ -103,21 +112,21 @@
                 return
             reply = target.directory_sync.answer(message)
             target._count(reply)
-            self.swarm.carry(
+            self.swarm.deliver(
                 target, self.node.name, lambda _: decisions.resolve(fut, reply)
             )
 
-        self.swarm.carry(self, node.name, answer)
+        self.swarm.deliver(self, node.name, answer)
         lost = _peers.PeerLostError("lost", was_sent=True)
         self.timers.after(PEER_TIMEOUT_S, lambda: decisions.reject(fut, lost))
         return fut
 
     def check(self, node: decisions.Node) -> "decisions.Future[None]":
-        """Is not asked here: spreaders hand nothing over."""
+        """Succeeds at once: directory sync does not check its streams."""
         return decisions.completed(None)
 
     def tell(self, node: decisions.Node, message: _messages.Message) -> None:
-        """Sends a one-way message to another node's spreader."""
+        """Sends a one-way message to another node's directory sync."""
         self._count(message)
 
         def merge(target: "SwarmNode") -> None:
@@ -125,13 +134,13 @@
                 entries = _codec.unpack_entries(message.entries)
                 target.directory_sync.merge(entries)
 
-        self.swarm.carry(self, node.name, merge)
+        self.swarm.deliver(self, node.name, merge)
 
     def _count(self, message: _messages.Message) -> None:
         size = len(_codec.encode(1, message)) + TCP_HEADER_BYTES
         self.stream_bytes += size
 
-    def _changed(self) -> None:
+    def _on_membership_changed(self) -> None:
         if self.swarm.plan.spreads:
             self.board.write(_board.NODES, self.view.alive())
 
@@ -153,7 +162,12 @@
 
 
 class Swarm:
-    """Many nodes on one fake network."""
+    """Many nodes on one fake network.
+
+    Attributes:
+        cut: Pairs of data centres that cannot reach each other.
+        isolated_nodes: Names of nodes that cannot reach any other node.
+    """
 
     def __init__(self, plan: SwarmPlan, seed: int) -> None:
         self.plan = plan
@@ -161,54 +175,57 @@
         self.timers = decisions.VirtualTimers()
         self.store = _virtual_store.StoreState()
         self.cut: set[frozenset[str]] = set()
-        self.alone: set[str] = set()
-        self._described = [
+        self.isolated_nodes: set[str] = set()
+        self._descriptions = [
             decisions.Node(
                 f"n{i:03d}", f"dc-{i % plan.centres}", "127.0.0.1", 1, 1
             )
             for i in range(plan.nodes)
         ]
         self.nodes: dict[str, SwarmNode] = {}
-        for node in self._described:
+        for node in self._descriptions:
             rng = random.Random(self.random.random())
             self.nodes[node.name] = SwarmNode(self, node, rng)
         for found in self.nodes.values():
-            found.view.note_listed(self._described)
+            found.view.note_listed(self._descriptions)
 
     def readers(self, centre: str) -> list[str]:
-        """Returns the store's readers of a data centre."""
-        chosen = decisions.store_readers(centre, self._described, 2)
+        """Returns the names of the store readers of a data centre."""
+        chosen = decisions.store_readers(centre, self._descriptions, 2)
         return [n.name for n in chosen]
 
     def kill(self, name: str) -> None:
-        """Ends a node at once."""
+        """Stops a node abruptly."""
         self.nodes[name].alive = False
         self.nodes[name].view.close()
 
     def restart(self, name: str) -> SwarmNode:
-        """Ends a node and begins it again, with nothing kept."""
+        """Replaces a node by a new one without its state."""
         self.kill(name)
         rng = random.Random(self.random.random())
-        begun = SwarmNode(self, self.nodes[name].node, rng)
-        self.nodes[name] = begun
-        begun.view.note_listed(self._described)
-        return begun
+        restarted = SwarmNode(self, self.nodes[name].node, rng)
+        self.nodes[name] = restarted
+        restarted.view.note_listed(self._descriptions)
+        return restarted
 
-    def carry_probe(
+    def deliver_probe(
         self, source: SwarmNode, name: str, message: decisions.ProbeMessage
     ) -> None:
-        """Carries a datagram, or loses it."""
+        """Delivers a datagram, or drops it at random."""
         if self.random.random() < self.plan.loss:
             return
-        self.carry(source, name, lambda t: t.view.receive(message))
+        self.deliver(source, name, lambda t: t.view.receive(message))
 
-    def carry(
+    def deliver(
         self,
         source: SwarmNode,
         name: str,
         work: Callable[[SwarmNode], object],
     ) -> None:
-        """Runs work at another node after the delay, if it gets there."""
+        """Runs a callable at another node after the network delay.
+
+        Nothing happens if the network between them is cut.
+        """
         target = self.nodes.get(name)
         if target is None or self._is_cut(source, target):
             return
@@ -220,7 +237,7 @@
         target.timers.after(self._delay(source, target), arrive)
 
     def _is_cut(self, source: SwarmNode, target: SwarmNode) -> bool:
-        if self.alone & {source.node.name, target.node.name}:
+        if self.isolated_nodes & {source.node.name, target.node.name}:
             return True
         pair = (source.node.data_centre, target.node.data_centre)
         return frozenset(pair) in self.cut and pair[0] != pair[1]
@@ -229,9 +246,11 @@
         here, there = source.node.data_centre, target.node.data_centre
         if here == there:
             return self.plan.local_delay_s
-        same = int(here[3:]) % REGIONS == int(there[3:]) % REGIONS
+        same_region = (
+            int(here[3:]) % REGION_COUNT == int(there[3:]) % REGION_COUNT
+        )
         return (
             self.plan.intra_region_delay_s
-            if same
+            if same_region
             else self.plan.inter_region_delay_s
         )
--- a/packages/standins/src/ferry_standins/_virtual.py
+++ b/packages/standins/src/ferry_standins/_virtual.py
@@ -1,7 +1,8 @@
-"""Fakes at the interfaces, in virtual time: members, store and delays.
+"""Fakes of members, drivers and the network in virtual time.
 
-The real decisions run on them: nothing here decides anything. One
-`VirtualTimers` drives all; the same seed gives the same run.
+They stand in at the interfaces of the real decision code and decide nothing
+themselves. One `VirtualTimers` drives all of them, so the same seed gives the
+same run.
 """
 
 from collections.abc import Callable
@@ -17,17 +18,18 @@
     from ferry_standins import _virtual_conn
 
 PROBE_TIMEOUT_S = 0.3
+# Time that it takes to open a connection to a member.
 CONNECT_S = 0.010
 FENCE_TIMEOUT_S = 0.5
 
 
 class PausableTimers:
-    """The timers of one node, whose process may be paused."""
+    """The timers of one node, whose process can be paused."""
 
     def __init__(self, timers: decisions.VirtualTimers) -> None:
         self._timers = timers
         self._paused_until = 0.0
-        self._late: list[Callable[[float], object]] = []
+        self._on_pause: list[Callable[[float], object]] = []
 
     def now(self) -> float:
         """Returns the virtual time in seconds."""
@@ -36,17 +38,19 @@
     def after(
         self, delay: float, callback: Callable[[], object]
     ) -> decisions.Timer:
-        """Runs `callback` once, not before the end of a pause."""
+        """Runs `callback` once, or at the end of a pause if that is later."""
         return self._timers.after(delay, lambda: self._fire(callback))
 
     def on_process_pause(self, callback: Callable[[float], object]) -> None:
-        """Subscribes to pauses of the process."""
-        self._late.append(callback)
+        """Registers a callback that receives the length of each pause."""
+        self._on_pause.append(callback)
 
     def pause(self, seconds: float) -> None:
-        """Pauses the process."""
+        """Pauses the process for some seconds."""
         self._paused_until = self.now() + seconds
-        self._timers.after(seconds, lambda: [c(seconds) for c in self._late])
+        self._timers.after(
+            seconds, lambda: [c(seconds) for c in self._on_pause]
+        )
 
     def _fire(self, callback: Callable[[], object]) -> None:
         left = self._paused_until - self.now()
@@ -58,12 +62,12 @@
 
 @attrs.define
 class VirtualNet:
-    """Delays and cuts between places; a place is a data centre or a member.
+    """Network delays and cuts between data centres and members.
 
     Attributes:
         delay_s: One-way delay between data centres, in seconds.
-        local_delay_s: One-way delay inside one, in seconds.
-        cut: Pairs of places between which nothing gets through.
+        local_delay_s: One-way delay inside a data centre, in seconds.
+        cut: Pairs of data centres or members that cannot reach each other.
     """
 
     delay_s: float = 0.001
@@ -75,12 +79,24 @@
         return self.local_delay_s if here == there else self.delay_s
 
     def is_cut(self, here: str, there: str) -> bool:
-        """Whether nothing gets through between two places."""
+        """Returns whether two data centres or members are cut apart."""
         return frozenset((here, there)) in self.cut
 
 
 class VirtualMember:
-    """A member without sockets: a log, values by key, and faults."""
+    """A fake member without sockets: a log, values by key, and faults.
+
+    Attributes:
+        crashed: Whether it refuses connections.
+        silent: Whether it accepts messages without answering any.
+        slow_s: Extra delay before it handles a message, in seconds.
+        paused_until: End of a pause of the member, in seconds.
+        owner_id: The node that owns the member; empty for none.
+        running: Process ids of connections that run a statement.
+        statement_s: Execution time of a statement, in seconds.
+        peak_conns: Largest number of open connections so far.
+        values: The values that reads see, by key.
+    """
 
     def __init__(
         self,
@@ -109,46 +125,46 @@
         group.subscribe(self._received)
 
     def status(self) -> decisions.MemberStatus:
-        """Returns what the member says of itself."""
+        """Returns the status that the member reports."""
         guests = sum(c.owner != self.owner_id for c in self.conns)
         return self.replica.status(self._timers.now(), self.owner_id, guests)
 
     @property
     def delay_s(self) -> float:
-        """Time until it handles what arrives now, in seconds."""
+        """Delay until it handles a message that arrives now, in seconds."""
         return max(self.paused_until - self._timers.now(), 0.0) + self.slow_s
 
     def apply_to(self, index: int) -> None:
-        """Shows entries up to an index."""
+        """Applies log entries up to an index."""
         replica = self.replica
         if replica.leads:
             return
         while replica.applied < min(index, len(replica.log)):
-            self._show(replica.log[replica.applied])
+            self._apply(replica.log[replica.applied])
             replica.applied += 1
 
     def write(self, key: str, value: int) -> None:
         """Commits one write as the primary.
 
         Raises:
-            RefusedError: The member does not lead.
+            RefusedError: The member is not the primary.
         """
         statement = _log.LogStatement(key, (value,))
         self.replica.append((statement,))
-        self._show(self.replica.log[-1])
-        self.group.committed(self.name)
+        self._apply(self.replica.log[-1])
+        self.group.send_committed(self.name)
 
     def own(self, owner: str) -> None:
-        """Takes statements from one owner only."""
+        """Accepts statements from one owner only."""
         if self.owner_id and owner and owner != self.owner_id:
             self.drop_conns()
         self.owner_id = owner
 
     def fence(self, term: int, claim_id: str) -> None:
-        """Promises a term; a primary that is fenced ends its connections."""
-        led = self.replica.leads
+        """Promises a term; a fenced primary closes its connections."""
+        was_primary = self.replica.leads
         self.replica.fence(term, claim_id)
-        if led and not self.replica.leads:
+        if was_primary and not self.replica.leads:
             self.drop_conns()
 
     def promote(self, order: decisions.PromoteOrder) -> None:
@@ -157,7 +173,7 @@
         self.replica.lead(order.term, dict(order.starts)[order.term])
 
     def follow(self, order: decisions.PromoteOrder) -> None:
-        """Becomes a replica, without what the primary does not have."""
+        """Becomes a replica and drops entries that the primary lacks."""
         if order.term < self.replica.promised:
             raise _log.RefusedError(str(self.replica.promised))
         common = self.group.common_prefix(self.name, order.primary.name)
@@ -172,37 +188,37 @@
             self.apply_to(count)
 
     def drop_conns(self) -> None:
-        """Ends the connections of callers, as a change of role does."""
+        """Closes the connections of callers, as a change of role does."""
         for conn in list(self.conns):
             conn.end()
 
     def when_received(
-        self, index: int, timeout_s: float, answer: Callable[[], None]
+        self, index: int, timeout_s: float, reply: Callable[[], None]
     ) -> None:
-        """Runs `answer` once an index is received, or at the timeout."""
+        """Runs `reply` once an index is received, or after the timeout."""
         if index <= len(self.replica.log):
-            answer()
+            reply()
             return
-        waiting = (index, answer)
+        waiting = (index, reply)
         self._waits.append(waiting)
 
         def expire() -> None:
             if waiting in self._waits:
                 self._waits.remove(waiting)
-                answer()
+                reply()
 
         self._timers.after(timeout_s, expire)
 
     def _received(self, name: str) -> None:
         if name != self.name:
             return
-        have = len(self.replica.log)
-        due = [w for w in self._waits if w[0] <= have]
-        self._waits = [w for w in self._waits if w[0] > have]
-        for _, answer in due:
-            answer()
+        received_count = len(self.replica.log)
+        due = [w for w in self._waits if w[0] <= received_count]
+        self._waits = [w for w in self._waits if w[0] > received_count]
+        for _, reply in due:
+            reply()
 
-    def _show(self, entry: _log.LogEntry) -> None:
+    def _apply(self, entry: _log.LogEntry) -> None:
         for statement in entry.statements:
             value = statement.values[0]
             assert isinstance(value, int)
@@ -211,38 +227,45 @@
 
 @attrs.frozen
 class Link:
-    """The way from a node to a member.
+    """The network link from a node to a member.
 
     Attributes:
-        timers: The virtual time.
-        net: Delays and cuts.
-        place: The data centre of the node.
+        timers: The timers of the virtual time.
+        net: The network, with its delays and cuts.
+        data_centre: The data centre of the node.
         member: The member.
     """
 
     timers: decisions.VirtualTimers
     net: VirtualNet
-    place: str
+    data_centre: str
     member: VirtualMember
 
     @property
     def open(self) -> bool:
-        """Whether messages get through."""
+        """Whether messages currently arrive."""
         centre = self.member.described.data_centre
         net = self.net
-        blocked = net.is_cut(self.place, centre)
-        isolated = net.is_cut(self.place, self.member.name)
-        return not blocked and not isolated
+        is_centre_cut = net.is_cut(self.data_centre, centre)
+        is_member_cut = net.is_cut(self.data_centre, self.member.name)
+        return not is_centre_cut and not is_member_cut
+
+    def deliver(self, work: Callable[[], object]) -> None:
+        """Runs a callable at the other end after the network delay.
 
-    def carry(self, work: Callable[[], object]) -> None:
-        """Runs work at the other side after the delay, if it gets there."""
+        Nothing happens if the link is cut by then.
+        """
         centre = self.member.described.data_centre
-        delay = self.net.delay(self.place, centre)
+        delay = self.net.delay(self.data_centre, centre)
         self.timers.after(delay, lambda: work() if self.open else None)
 
 
 class VirtualDriver:
-    """The driver of one database's members for one node."""
+    """One node's fake driver for the members of a database.
+
+    Attributes:
+        messages: Number of requests so far.
+    """
 
     def __init__(self, links: dict[str, Link]) -> None:
         self._links = links
@@ -253,37 +276,37 @@
         self, member: decisions.Member
     ) -> "decisions.Future[decisions.MemberStatus]":
         """Asks a member for its status."""
-        return self._ask(member, PROBE_TIMEOUT_S, lambda _: None)
+        return self._request(member, PROBE_TIMEOUT_S, lambda _: None)
 
     def own(
         self, member: decisions.Member, owner: str
     ) -> "decisions.Future[decisions.MemberStatus]":
-        """Makes a member take statements from one owner only."""
-        return self._ask(member, FENCE_TIMEOUT_S, lambda m: m.own(owner))
+        """Makes a member accept statements from one owner only."""
+        return self._request(member, FENCE_TIMEOUT_S, lambda m: m.own(owner))
 
     def is_running(
         self, member: decisions.Member, process_id: int
     ) -> "decisions.Future[bool]":
-        """Whether the connection with that number runs a statement."""
+        """Asks whether a connection is running a statement."""
         fut: decisions.Future[bool] = decisions.Future()
-        asked = self._ask(member, PROBE_TIMEOUT_S, lambda _: None)
+        status_future = self._request(member, PROBE_TIMEOUT_S, lambda _: None)
         target = self._links[member.name].member
 
-        def answer(done: "decisions.Future[decisions.MemberStatus]") -> None:
+        def reply(done: "decisions.Future[decisions.MemberStatus]") -> None:
             exc = done.exception()
             if exc is not None:
                 decisions.reject(fut, exc)
             else:
                 decisions.resolve(fut, process_id in target.running)
 
-        asked.add_done_callback(answer)
+        status_future.add_done_callback(reply)
         return fut
 
     def fence(
         self, member: decisions.Member, term: int, claim_id: str
     ) -> "decisions.Future[decisions.MemberStatus]":
         """Makes a member promise a term to one claim."""
-        return self._ask(
+        return self._request(
             member, FENCE_TIMEOUT_S, lambda m: m.fence(term, claim_id)
         )
 
@@ -291,13 +314,15 @@
         self, member: decisions.Member, order: decisions.PromoteOrder
     ) -> "decisions.Future[decisions.MemberStatus]":
         """Makes a fenced member the primary."""
-        return self._ask(member, FENCE_TIMEOUT_S, lambda m: m.promote(order))
+        return self._request(
+            member, FENCE_TIMEOUT_S, lambda m: m.promote(order)
+        )
 
     def follow(
         self, member: decisions.Member, order: decisions.PromoteOrder
     ) -> "decisions.Future[decisions.MemberStatus]":
         """Makes a member a replica of the primary."""
-        return self._ask(member, FENCE_TIMEOUT_S, lambda m: m.follow(order))
+        return self._request(member, FENCE_TIMEOUT_S, lambda m: m.follow(order))
 
     def wait_received(
         self,
@@ -306,19 +331,19 @@
         index: int,
         timeout_s: float,
     ) -> "decisions.Future[decisions.MemberStatus]":
-        """Answers once a member has received an index."""
-        return self._ask(
+        """Asks for the status once a member has received an index."""
+        return self._request(
             member, timeout_s + PROBE_TIMEOUT_S, lambda _: None, index
         )
 
     def close(self) -> None:
-        """Has nothing to close."""
+        """Does nothing: there are no connections to close."""
 
-    def _ask(
+    def _request(
         self,
         member: decisions.Member,
         timeout_s: float,
-        act: Callable[[VirtualMember], object],
+        action: Callable[[VirtualMember], object],
         wait_index: int = 0,
     ) -> "decisions.Future[decisions.MemberStatus]":
         link = self._links[member.name]
@@ -333,11 +358,11 @@
 
         def reply() -> None:
             status = target.status()
-            link.carry(lambda: decisions.resolve(fut, status))
+            link.deliver(lambda: decisions.resolve(fut, status))
 
         def arrive() -> None:
             if target.crashed:
-                link.carry(lambda: fail(True))
+                link.deliver(lambda: fail(True))
                 return
             if target.silent:
                 return
@@ -346,14 +371,14 @@
 
         def handle() -> None:
             try:
-                act(target)
+                action(target)
             except _log.RefusedError:
                 refusal = decisions.EndpointRefusedError()
-                link.carry(lambda: decisions.reject(fut, refusal))
+                link.deliver(lambda: decisions.reject(fut, refusal))
                 return
             target.when_received(wait_index, timeout_s, reply)
 
         link.timers.after(timeout_s, lambda: fail(False))
-        extra = 0.0 if member.name in self._connected else CONNECT_S
-        link.timers.after(extra, lambda: link.carry(arrive))
+        connect_s = 0.0 if member.name in self._connected else CONNECT_S
+        link.timers.after(connect_s, lambda: link.deliver(arrive))
         return fut
--- a/packages/standins/src/ferry_standins/_virtual_conn.py
+++ b/packages/standins/src/ferry_standins/_virtual_conn.py
@@ -1,4 +1,4 @@
-"""A fake of a connection for statements, in virtual time."""
+"""A fake connection for statements, in virtual time."""
 
 import collections
 from collections.abc import Callable
@@ -12,12 +12,14 @@
 from ferry_standins import _log
 from ferry_standins import _virtual
 
-USER_TIMEOUT_S = 1.5
-RESEND_S = 0.2
+# How long data may stay unacknowledged before the connection is closed, as
+# with the socket option TCP_USER_TIMEOUT.
+TCP_USER_TIMEOUT_S = 1.5
+RETRANSMIT_S = 0.2
 
 
 class VirtualConn:
-    """A connection for statements, in place of `EndpointConn`.
+    """A fake connection for statements that replaces `EndpointConn`.
 
     A request is a msgpack array: `["w", key, value]` or `["r", key]`.
     """
@@ -36,29 +38,34 @@
         self.position: decisions.Position | None = None
         self.ready: decisions.Future[VirtualConn] = decisions.Future()
         self.on_closed: Callable[[VirtualConn], object] | None = None
-        link.timers.after(_virtual.CONNECT_S, lambda: link.carry(self._accept))
+        link.timers.after(
+            _virtual.CONNECT_S, lambda: link.deliver(self._accept)
+        )
         link.timers.after(_virtual.PROBE_TIMEOUT_S, self._expire)
 
     def execute(
         self, payload: bytes, sink: _endpoint.Sink | None = None
     ) -> "decisions.Future[_endpoint.Answer]":
-        """Hands a request over."""
+        """Sends a request and returns the future of its answer."""
         fut: decisions.Future[_endpoint.Answer] = decisions.Future()
         if self.closed:
             return decisions.failed(_endpoint.EndpointLostError("closed"))
         self._pending.append(fut)
-        self._deliver(lambda: self._arrive(payload, fut))
+        self._deliver_reliably(lambda: self._arrive(payload, fut))
         return fut
 
-    def _deliver(self, work: Callable[[], object], waited: float = 0.0) -> None:
-        """Carries like TCP: again and again, until the user timeout."""
+    def _deliver_reliably(
+        self, work: Callable[[], object], waited_s: float = 0.0
+    ) -> None:
+        """Retransmits like TCP until delivery or the user timeout."""
         if self._link.open:
-            self._link.carry(work)
-        elif waited >= USER_TIMEOUT_S:
+            self._link.deliver(work)
+        elif waited_s >= TCP_USER_TIMEOUT_S:
             self.end()
         else:
             self._link.timers.after(
-                RESEND_S, lambda: self._deliver(work, waited + RESEND_S)
+                RETRANSMIT_S,
+                lambda: self._deliver_reliably(work, waited_s + RETRANSMIT_S),
             )
 
     def close(self, cancel: bool = False) -> None:
@@ -66,7 +73,10 @@
         self.end()
 
     def end(self) -> None:
-        """Ends it from either side; what it owes is lost."""
+        """Closes the connection from either side.
+
+        Pending requests fail.
+        """
         if self.closed:
             return
         self.closed = True
@@ -94,7 +104,7 @@
             return
         member.conns.add(self)
         member.peak_conns = max(member.peak_conns, len(member.conns))
-        self._link.carry(lambda: decisions.resolve(self.ready, self))
+        self._link.deliver(lambda: decisions.resolve(self.ready, self))
 
     def _expire(self) -> None:
         if not self.ready.done():
@@ -124,18 +134,18 @@
         member.running.discard(self.process_id)
         if self.closed:
             return
-        request = _decoded(payload)
+        request = _decode_request(payload)
         answer = _endpoint.Answer(status="I")
         try:
             if request and request[0] == "w":
                 member.write(request[1], request[2])
         except _log.RefusedError:
             answer.sqlstate = "57P04"
-        found = member.values.get(request[1], 0) if request else 0
-        data = msgpack.packb(found)
+        value = member.values.get(request[1], 0) if request else 0
+        data = msgpack.packb(value)
         answer.frames.append(_wire.Frame(_wire.ROW, data))
-        answer.position = member.replica.shown
-        self._deliver(lambda: self._finish(fut, answer))
+        answer.position = member.replica.applied_position
+        self._deliver_reliably(lambda: self._finish(fut, answer))
 
     def _finish(
         self,
@@ -149,8 +159,8 @@
         decisions.resolve(fut, answer)
 
 
-def _decoded(payload: bytes) -> list[typing.Any]:
-    """Returns a request; empty for a reset or a validation."""
+def _decode_request(payload: bytes) -> list[typing.Any]:
+    """Decodes a request; empty for a reset or a validation."""
     if payload[:1] == b"Q":
         return []
     found = msgpack.unpackb(payload)
--- a/packages/standins/src/ferry_standins/_virtual_store.py
+++ b/packages/standins/src/ferry_standins/_virtual_store.py
@@ -1,4 +1,4 @@
-"""A fake of the platform's store, in virtual time."""
+"""A fake of the platform's key-value store, in virtual time."""
 
 from collections.abc import Callable
 import typing
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class StoreBackup:
-    """What the virtual store held at a moment."""
+    """A backup of the virtual store."""
 
     entries: dict[str, decisions.StoreEntry]
     number: int
@@ -24,13 +24,16 @@
 
     Attributes:
         entries: Entries by key.
-        number: How many changes there were, and one.
-        era: How often the store came back from a copy.
-        down: Whether no call is answered or takes effect.
-        replies_to_drop: How many of the next writes take effect unanswered.
+        number: The number of the last revision. It starts at 1 and grows by
+            one with each change.
+        era: Number of times the store was restored from a backup.
+        down: Whether calls fail without taking effect.
+        replies_to_drop: Number of coming writes that take effect but get no
+            reply.
         delay_s: Time that a call takes, in seconds.
-        calls: Calls so far.
-        refused_writes: Writes so far whose condition did not hold.
+        calls: Number of calls so far.
+        refused_writes: Number of writes so far whose condition did not hold.
+        watches: Active watches of all clients.
     """
 
     entries: dict[str, decisions.StoreEntry] = attrs.field(factory=dict)
@@ -45,20 +48,20 @@
 
     @property
     def revision(self) -> decisions.Revision:
-        """The last revision."""
+        """The revision of the last change."""
         return decisions.Revision(self.era, self.number)
 
     def condition(self, key: str) -> decisions.Revision:
-        """Returns the revision that a key has, for a conditional write."""
+        """Returns the revision of a key, for a conditional write."""
         known = self.entries.get(key)
         return known.revision if known else self.revision.beginning
 
     def copy(self) -> StoreBackup:
-        """Returns what a later `restore` brings back."""
+        """Returns a backup of the contents for `restore`."""
         return StoreBackup(dict(self.entries), self.number)
 
     def restore(self, copy: StoreBackup) -> None:
-        """Comes back from a copy; all that was written since is gone."""
+        """Restores a backup, which loses all later writes."""
         self.era += 1
         self.number = copy.number
         self.entries = {
@@ -72,7 +75,11 @@
 
 
 class VirtualStore:
-    """One node's client of the virtual store."""
+    """One node's client of the virtual store.
+
+    Attributes:
+        cut: Whether this node cannot reach the store.
+    """
 
     def __init__(
         self, timers: decisions.TimerService, state: StoreState
@@ -83,7 +90,7 @@
 
     @property
     def era(self) -> int:
-        """The era in which the store answers."""
+        """The current era of the store."""
         return self._state.era
 
     def get(self, key: str) -> "decisions.Future[decisions.StoreEntry | None]":
@@ -115,7 +122,8 @@
             entry = decisions.StoreEntry(key, value, state.revision)
             state.entries[key] = entry
             if revision.era != state.era:
-                # It compares numbers alone, and says its era afterwards.
+                # The store compares revision numbers alone and reports its
+                # era only in the reply, after the write took effect.
                 raise decisions.StoreUnavailableError("another era")
             for watch in state.watches:
                 if key.startswith(watch.prefix):
@@ -133,7 +141,13 @@
         notify: Callable[[decisions.StoreEntry], None],
         restored: Callable[[], None],
     ) -> "VirtualWatch":
-        """Reports each change below a prefix from now on."""
+        """Reports each later change of a key that begins with `prefix`.
+
+        Args:
+            prefix: The prefix of the keys.
+            notify: Called with each changed entry.
+            restored: Called when the store was restored from a backup.
+        """
         self._state.calls += 1
         watch = VirtualWatch(self._state, prefix, notify, restored, self)
         self._state.watches.append(watch)
@@ -141,7 +155,7 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether calls get through."""
+        """Whether calls reach the store."""
         return not self._state.down and not self.cut
 
     def _call(
@@ -193,11 +207,11 @@
         self._client = client
 
     def notify(self, entry: decisions.StoreEntry) -> None:
-        """Passes a change on, if it gets through."""
+        """Reports a change if the client reaches the store."""
         if self._client.reachable:
             self._notify(entry)
 
     def cancel(self) -> None:
-        """Ends the watch."""
+        """Stops the watch."""
         if self in self._state.watches:
             self._state.watches.remove(self)
--- a/packages/standins/src/ferry_standins/_vms.py
+++ b/packages/standins/src/ferry_standins/_vms.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's list of live and leaving VMs."""
+"""A fake of the platform's list of live and leaving VMs."""
 
 import http.server
 import json
@@ -10,7 +10,12 @@
 
 
 class VmListServer:
-    """Serves a list that its owner edits."""
+    """Serves a list of VMs that tests edit.
+
+    Attributes:
+        down: Whether every request fails.
+        url: The address of the list.
+    """
 
     def __init__(self, host: str = "127.0.0.1") -> None:
         self._vms: dict[str, node.Vm] = {}
@@ -19,11 +24,11 @@
         server = self
 
         class Handler(http.server.BaseHTTPRequestHandler):
-            """Answers with the list."""
+            """Passes each request to the server."""
 
             protocol_version = "HTTP/1.1"
 
-            def do_GET(self) -> None:  # noqa: N802 - the library's name
+            def do_GET(self) -> None:  # noqa: N802 - name given by the library
                 server.handle(self)
 
             def log_message(self, format: str, *args: object) -> None:
@@ -37,7 +42,7 @@
         ).start()
 
     def put(self, vm: node.Vm) -> None:
-        """Adds a VM, or replaces it."""
+        """Adds or replaces a VM."""
         with self._lock:
             self._vms[vm.name] = vm
 
@@ -47,7 +52,7 @@
             self._vms[name] = attrs.evolve(self._vms[name], state="leaving")
 
     def remove(self, name: str) -> None:
-        """Takes a VM off the list."""
+        """Removes a VM from the list."""
         with self._lock:
             self._vms.pop(name, None)
 
@@ -57,7 +62,7 @@
         self._server.server_close()
 
     def handle(self, request: http.server.BaseHTTPRequestHandler) -> None:
-        """Answers one request."""
+        """Replies to one request with the list, or with 304."""
         if self.down:
             request.close_connection = True
             return
--- a/packages/standins/src/ferry_standins/tests/test_faults.py
+++ b/packages/standins/src/ferry_standins/tests/test_faults.py
@@ -322,7 +322,7 @@
         read = session.read(nodes[(minute + 1) % 3])
         lab.timers.advance(30.0)
         assert write.result().outcome is decisions.Outcome.RAN
-        assert read.result().value == session.next_value
+        assert read.result().value == session.last_value
 
 
 @pytest.mark.parametrize("seed", [6099, 42])
--- a/packages/standins/src/ferry_standins/tests/test_ownership.py
+++ b/packages/standins/src/ferry_standins/tests/test_ownership.py
@@ -99,7 +99,7 @@
     )
     for service in (first, second):
         service.ownership.owned = True
-        monkeypatch.setattr(service.ownership, "lose", lambda: None)
+        monkeypatch.setattr(service.ownership, "note_lost", lambda: None)
         monkeypatch.setattr(service.pool, "_owner", "")
         monkeypatch.setattr(
             service.request_checks,
--- a/packages/standins/src/ferry_standins/tests/test_restored_store.py
+++ b/packages/standins/src/ferry_standins/tests/test_restored_store.py
@@ -240,13 +240,13 @@
         peer.store.cut = True  # Else they write the newer one again.
     lab.lose()
     reader = lab.swarm.readers("dc-0")[0]
-    lab.swarm.alone.add(reader)
+    lab.swarm.isolated_nodes.add(reader)
     node = lab.swarm.restart(reader)
     lab.swarm.timers.advance(1.5)
     assert node.directory_sync is not None
     assert version_at(node) == 1
     assert not node.directory_sync.is_current
-    lab.swarm.alone.clear()
+    lab.swarm.isolated_nodes.clear()
     lab.swarm.timers.advance(IN_FORCE_S)
     assert version_at(node) == 3
     assert node.directory_sync.is_current
