--- a/packages/standins/src/ferry_standins/_kv.py
+++ b/packages/standins/src/ferry_standins/_kv.py
@@ -80,13 +80,13 @@
         with self._lock:
             return KvBackup(dict(self._values), self.revision)
 
-    def restore(self, copy: KvBackup) -> None:
+    def restore(self, backup: KvBackup) -> None:
         """Restores a backup, which loses all later writes."""
         with self._lock:
             self.era += 1
-            self._values = dict(copy.values)
+            self._values = dict(backup.values)
             self._leases.clear()
-            self.revision = copy.revision
+            self.revision = backup.revision
 
     def range(self, key: str, end: str) -> list[tuple[str, KvValue]]:
         """Returns the values of one key, or of all in `[key, end)`."""
--- a/packages/standins/src/ferry_standins/_session.py
+++ b/packages/standins/src/ferry_standins/_session.py
@@ -77,7 +77,7 @@
         return self._is_working
 
     def blackhole(self) -> None:
-        """Stops reading and replying, as if the network dropped all packets."""
+        """Stops reading requests, as if the network dropped all packets."""
         self._stream.pause()
 
     def close(self) -> None:
--- a/packages/standins/src/ferry_standins/_virtual_store.py
+++ b/packages/standins/src/ferry_standins/_virtual_store.py
@@ -60,15 +60,15 @@
         """Returns a backup of the contents for `restore`."""
         return StoreBackup(dict(self.entries), self.number)
 
-    def restore(self, copy: StoreBackup) -> None:
+    def restore(self, backup: StoreBackup) -> None:
         """Restores a backup, which loses all later writes."""
         self.era += 1
-        self.number = copy.number
+        self.number = backup.number
         self.entries = {
             k: attrs.evolve(
                 e, revision=decisions.Revision(self.era, e.revision.number)
             )
-            for k, e in copy.entries.items()
+            for k, e in backup.entries.items()
         }
         for watch in self.watches:
             watch.restored()
--- a/packages/standins/src/ferry_standins/tests/conftest.py
+++ b/packages/standins/src/ferry_standins/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A fleet on loopback that the end-to-end tests share."""
+"""Fixtures of the end-to-end tests: fleets on loopback."""
 
 import pytest
 
@@ -7,13 +7,15 @@
 
 @pytest.fixture(scope="session")
 def fleet():
-    found = helpers.started()
-    yield found
-    found.close()
+    """Yields a fleet that the tests of a session share."""
+    started_fleet = helpers.start_fleet()
+    yield started_fleet
+    started_fleet.close()
 
 
 @pytest.fixture
 def own_fleet():
-    found = helpers.started()
-    yield found
-    found.close()
+    """Yields a fleet for one test, which may break it."""
+    started_fleet = helpers.start_fleet()
+    yield started_fleet
+    started_fleet.close()
--- a/packages/standins/src/ferry_standins/tests/helpers.py
+++ b/packages/standins/src/ferry_standins/tests/helpers.py
@@ -18,7 +18,10 @@
 
 
 def eventually(check, seconds=20.0):
-    """Waits until a check holds; the time bounds a failing run only."""
+    """Waits until a check succeeds and returns its result.
+
+    The time limit only matters to a test that fails.
+    """
     end = time.monotonic() + seconds
     while True:
         try:
@@ -27,19 +30,19 @@
             found = None
         if found:
             return found
-        assert time.monotonic() < end, "did not come about"
+        assert time.monotonic() < end, "condition was not met in time"
         time.sleep(0.05)
 
 
-def started():
+def start_fleet():
     fleet = standins.Fleet(standins.FleetPlan())
     fleet.add_contract("lone-star", {"clerk": PASSWORD, "dealer": PASSWORD}, 10)
     fleet.add_contract("blue-mountain", {"clerk": PASSWORD}, 1)
-    eventually(lambda: _has_table(fleet))
+    eventually(lambda: _is_ready(fleet))
     return fleet
 
 
-def _has_table(fleet):
+def _is_ready(fleet):
     with connect(fleet) as conn:
         conn.execute(
             "CREATE TABLE IF NOT EXISTS orders "
--- a/packages/standins/src/ferry_standins/tests/test_admin.py
+++ b/packages/standins/src/ferry_standins/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""The administration API and the operators' tool, on a fleet."""
+"""Tests of the administration API and the operators' tool on a fleet."""
 
 import concurrent.futures
 import functools
@@ -169,8 +169,8 @@
 def test_operators_tool(fleet, tmp_path):
     path = pathlib.Path(tmp_path) / "contract.json"
     path.write_text(json.dumps(DOCUMENT))
-    made = run_tool(fleet, "contract", "create", "by-tool", str(path))
-    assert made.output == "by-tool is at version 1\n"
+    created = run_tool(fleet, "contract", "create", "by-tool", str(path))
+    assert created.output == "by-tool is at version 1\n"
     assert "by-tool" in run_tool(fleet, "contract", "list").output
     amended = run_tool(
         fleet, "contract", "amend", "by-tool", str(path), "--version", "1"
@@ -184,8 +184,8 @@
     assert shown["changed_by"] == "olive"
     history = run_tool(fleet, "contract", "history", "by-tool")
     assert [h["version"] for h in json.loads(history.output)] == [2, 1]
-    gone = run_tool(fleet, "contract", "delete", "by-tool", "--version", "2")
-    assert gone.exit_code == 0
+    deleted = run_tool(fleet, "contract", "delete", "by-tool", "--version", "2")
+    assert deleted.exit_code == 0
 
 
 def test_status_and_metrics(fleet):
--- a/packages/standins/src/ferry_standins/tests/test_callers.py
+++ b/packages/standins/src/ferry_standins/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""The caller protocol, with a real client through real sockets."""
+"""Tests of the caller protocol with a real client over real sockets."""
 
 import itertools
 import threading
@@ -184,7 +184,7 @@
 
 
 def test_write_through_a_read_goes_to_the_primary(fleet):
-    """A statement that looks like a read may still be refused as a write."""
+    """A connection that has sent a read can write and read its own write."""
     with helpers.connect(fleet, 0) as conn:
         conn.execute("SELECT 1")
         serial = next(serials)
--- a/packages/standins/src/ferry_standins/tests/test_failover.py
+++ b/packages/standins/src/ferry_standins/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Changes of primary, lost nodes and lost connections, over real sockets."""
+"""Tests of failover, lost nodes and lost connections over real sockets."""
 
 from ferry_node import _board
 import psycopg
@@ -29,36 +29,36 @@
     fleet = own_fleet
     for serial in range(1, 6):
         insert(fleet, serial % 3, serial)
-    old = fleet.primary("plates")
+    old_primary = fleet.primary("plates")
     if fault == "isolate":
-        fleet.isolate("plates", old.name)
+        fleet.isolate("plates", old_primary.name)
     else:
-        on_loop(fleet, old.stop)
+        on_loop(fleet, old_primary.stop)
     serials = iter(range(100, 1000))
     helpers.eventually(lambda: insert(fleet, 1, next(serials)))
-    assert fleet.primary("plates").name != old.name
+    assert fleet.primary("plates").name != old_primary.name
     if fault == "isolate":
-        fleet.heal("plates", old.name)
+        fleet.heal("plates", old_primary.name)
     else:
-        on_loop(fleet, old.restart)
+        on_loop(fleet, old_primary.restart)
     helpers.eventually(
-        lambda: old.replica.term == fleet.primary("plates").replica.term
+        lambda: old_primary.replica.term == fleet.primary("plates").replica.term
     )
-    assert not old.replica.leads
+    assert not old_primary.replica.leads
     assert set(range(1, 6)) <= set(stored(fleet, 2))
 
 
 def test_transaction_of_a_dead_node_is_rolled_back(own_fleet):
     fleet = own_fleet
     primary = fleet.primary("plates")
-    away = next(
+    remote = next(
         i
         for i, n in enumerate(fleet.nodes.values())
         if n.cfg.data_centre not in primary.name
     )
-    conn = helpers.connect(fleet, away, autocommit=False)
+    conn = helpers.connect(fleet, remote, autocommit=False)
     conn.execute("INSERT INTO orders VALUES (7, 'open')")
-    fleet.kill_node(list(fleet.nodes)[away])
+    fleet.kill_node(list(fleet.nodes)[remote])
     with pytest.raises(psycopg.OperationalError):
         conn.commit()
     helpers.eventually(lambda: insert(fleet, 0, 8))
@@ -70,8 +70,8 @@
     conn = helpers.connect(fleet, 0)
     conn.execute("BEGIN")
     conn.execute("INSERT INTO orders VALUES (20, 'half')")
-    old = fleet.primary("plates")
-    fleet.isolate("plates", old.name)
+    old_primary = fleet.primary("plates")
+    fleet.isolate("plates", old_primary.name)
     serials = iter(range(100, 1000))
     helpers.eventually(lambda: insert(fleet, 1, next(serials)))
     with pytest.raises(psycopg.Error) as found:
@@ -88,9 +88,9 @@
 def test_leaving_endpoint_is_no_longer_primary(own_fleet):
     fleet = own_fleet
     insert(fleet, 0, 1)
-    old = fleet.primary("plates")
-    fleet.vms.leave(old.name)
-    helpers.eventually(lambda: fleet.primary("plates").name != old.name)
+    old_primary = fleet.primary("plates")
+    fleet.vms.leave(old_primary.name)
+    helpers.eventually(lambda: fleet.primary("plates").name != old_primary.name)
     serials = iter(range(100, 1000))
     helpers.eventually(lambda: insert(fleet, 2, next(serials)))
     assert 1 in stored(fleet, 1)
@@ -112,7 +112,8 @@
     idle = helpers.connect(fleet, 0)
     busy.execute("INSERT INTO orders VALUES (60, 'last')")
     stopped = fleet.stop_node(name)
-    # Before, a SELECT would wait for the open transaction's lock.
+    # Until the node is stopping, a SELECT would wait for the lock of the open
+    # transaction.
     helpers.eventually(lambda: node.stopping)
     with pytest.raises(psycopg.errors.AdminShutdown):
         while True:
@@ -125,7 +126,7 @@
 
 
 def test_silent_idle_connection_is_replaced_before_a_write(own_fleet):
-    """Old connections are dead without a word, while new ones work."""
+    """Open connections silently stop working while new ones succeed."""
     fleet = own_fleet
     insert(fleet, 0, 1)
     primary = fleet.primary("plates")
@@ -135,7 +136,7 @@
     assert primary.replica.term == 1
 
 
-def work_on(member):
+def caller_sessions(member):
     return [s for s in member.sessions if not s.is_control]
 
 
@@ -151,17 +152,17 @@
         def read():
             return conn.execute("SELECT count(*) FROM orders").fetchone()
 
-        helpers.eventually(lambda: read() and work_on(replica))
+        helpers.eventually(lambda: read() and caller_sessions(replica))
         fleet.vms.leave(replica.name)
-        listed = f"127.0.0.1:{replica.port}"
-        helpers.eventually(lambda: listed in leaving(fleet, node))
+        address = f"127.0.0.1:{replica.port}"
+        helpers.eventually(lambda: address in leaving_addresses(fleet, node))
         on_loop(fleet, replica.drop_callers)
         for _ in range(20):
             assert read() == (1,)
-        assert not work_on(replica)
+        assert not caller_sessions(replica)
 
 
-def leaving(fleet, node):
+def leaving_addresses(fleet, node):
     found = list(fleet.nodes.values())[node]
     return found.board.read(_board.LEAVING)
 
--- a/packages/standins/src/ferry_standins/tests/test_faults.py
+++ b/packages/standins/src/ferry_standins/tests/test_faults.py
@@ -1,8 +1,8 @@
-"""Seeded faults in virtual time on the real decisions, and their mutants.
+"""Tests of the decision code under seeded faults in virtual time.
 
-The first table shows that the promises hold. The second removes one mechanism
-at a time and shows that the checker then finds the promise broken, so that no
-line of the first table passes by accident.
+Some tests check that faults violate no consistency guarantee. Others disable
+one mechanism at a time and check that the checker then finds violations, which
+shows that the former do not pass by accident.
 """
 
 import math
@@ -44,8 +44,11 @@
     assert _bench_failover.false_promotions(seed=3, minutes=1.0) == 0
 
 
-def busy_lab(seed, keeps_floors=True, forgetful=False):
-    """Returns a lab with roaming sessions, and a function that runs it on."""
+def busy_lab(seed, keeps_floors=True, drops_tokens=False):
+    """Returns a lab with sessions that change nodes.
+
+    The second result is a function that continues the run for some seconds.
+    """
     lab = standins.Lab(LAGGING, seed)
     lab.timers.advance(1.5)
     nodes = list(lab.nodes_by_name.values())
@@ -63,61 +66,61 @@
                 continue
             node = lab.random.choice(nodes)
             busy.add(session.name)
-            use = session.write if lab.random.random() < 0.4 else session.read
-            if forgetful:
+            send = session.write if lab.random.random() < 0.4 else session.read
+            if drops_tokens:
                 session.forget()
-            fut = use(node)
+            fut = send(node)
             fut.add_done_callback(lambda f: busy.discard(f.result().session))
 
-    def go_on(seconds, stop_after=0.02):
+    def run_for(seconds, stop_after=0.02):
         for _ in range(round(seconds / 0.02)):
             step()
             lab.timers.advance(stop_after)
 
-    go_on(1.0)
-    return lab, go_on
+    run_for(1.0)
+    return lab, run_for
 
 
 def violations(kind, seeds=range(6), **kwargs):
-    """Returns the violations of a fault over some seeds."""
-    total = standins.Verdict()
+    """Returns the sum of violations under a fault over some seeds."""
+    totals = standins.Verdict()
     for seed in seeds:
-        lab, go_on = busy_lab(seed, **kwargs)
-        go_on(0.02, stop_after=lab.random.uniform(0.001, 0.01))
-        old = lab.primary().name
-        centre = lab.members[old].described.data_centre
+        lab, run_for = busy_lab(seed, **kwargs)
+        run_for(0.02, stop_after=lab.random.uniform(0.001, 0.01))
+        old_primary = lab.primary().name
+        centre = lab.members[old_primary].described.data_centre
         if kind == "isolated":
-            lab.isolate(old)
+            lab.isolate(old_primary)
         elif kind == "one_behind":
-            others = [m for m in lab.members if m != old]
-            lab.link_faults.cut.add(frozenset((old, others[-1])))
-            go_on(0.5)
-            lab.isolate(old)
+            others = [m for m in lab.members if m != old_primary]
+            lab.link_faults.cut.add(frozenset((old_primary, others[-1])))
+            run_for(0.5)
+            lab.isolate(old_primary)
         elif kind == "unreachable":
-            for place in lab.plan.centres:
-                lab.net.cut.add(frozenset((place, old)))
+            for other in lab.plan.centres:
+                lab.net.cut.add(frozenset((other, old_primary)))
         elif kind == "centre_cut":
             lab.cut_centre(centre)
-        go_on(4.0)
-        lab.heal(old)
+        run_for(4.0)
+        lab.heal(old_primary)
         lab.heal_centre(centre)
         lab.sync_records()
-        go_on(1.0)
+        run_for(1.0)
         lab.timers.advance(5.0)
         found = lab.verdict()
-        total = standins.Verdict(
+        totals = standins.Verdict(
             *(
                 a + b
                 for a, b in zip(
-                    attrs.astuple(total), attrs.astuple(found), strict=True
+                    attrs.astuple(totals), attrs.astuple(found), strict=True
                 )
             )
         )
-    return total
+    return totals
 
 
 @pytest.mark.parametrize(
-    ("kind", "forgetful"),
+    ("kind", "drops_tokens"),
     [
         ("none", False),
         ("isolated", False),
@@ -127,10 +130,10 @@
         ("centre_cut", True),
     ],
 )
-def test_roaming_sessions_see_their_own_work(kind, forgetful):
-    found = violations(kind, seeds=range(3), forgetful=forgetful)
+def test_roaming_sessions_see_their_own_work(kind, drops_tokens):
+    found = violations(kind, seeds=range(3), drops_tokens=drops_tokens)
     assert found == standins.Verdict(backwards=found.backwards)
-    assert forgetful or not found.backwards
+    assert drops_tokens or not found.backwards
 
 
 def _confirm_nothing(self, work, answer):
@@ -138,7 +141,7 @@
     yield
 
 
-def _choose_the_least(self, fenced):
+def _choose_shortest_log(self, fenced):
     return min(fenced, key=lambda s: s.received)
 
 
@@ -151,7 +154,7 @@
     return [s.result for s in settled if s.failure is None]
 
 
-def _call_it_not_run(self, work, exc):
+def _report_not_run(self, work, exc):
     return decisions.OVERLOADED
 
 
@@ -168,20 +171,20 @@
         "promote the member that holds least",
         _promotion.Promotion,
         "_choose",
-        _choose_the_least,
+        _choose_shortest_log,
         "one_behind",
         "lost",
     ),
     (
-        "call what was handed over not run",
+        "report a sent statement as not run",
         _serving.MemberService,
         "_reason",
-        _call_it_not_run,
+        _report_not_run,
         "unreachable",
         "untrue",
     ),
     (
-        "repeat what may have run",
+        "retry a statement that may have run",
         _entry,
         "TRY_ELSEWHERE",
         frozenset({decisions.ANSWER_LOST.name}),
@@ -215,12 +218,16 @@
     assert runs[0] == runs[1]
 
 
-def read_after_a_write_beyond_the_cut():
-    """Returns a read at the node that is cut off with the old primary."""
+def read_after_write_beyond_cut():
+    """Returns a write and a later read at a node that was cut off before.
+
+    The node that reads is cut off together with the old primary; the write
+    goes through a node on the other side.
+    """
     lab = standins.Lab(LAGGING, 7)
     lab.timers.advance(1.5)
-    old = lab.members[lab.primary().name]
-    centre = old.described.data_centre
+    old_primary = lab.members[lab.primary().name]
+    centre = old_primary.described.data_centre
     other = next(c for c in lab.plan.centres if c != centre)
     session = standins.LabSession(lab, "clerk", timeout_s=3.0)
     first = session.write(lab.node_in(other))
@@ -240,7 +247,7 @@
 
 
 def test_cut_off_primary_does_not_show_old_data_as_new():
-    _, read = read_after_a_write_beyond_the_cut()
+    _, read = read_after_write_beyond_cut()
     assert read.outcome is not decisions.Outcome.RAN
 
 
@@ -250,13 +257,13 @@
         "proved_at",
         property(lambda self: math.inf),
     )
-    write, read = read_after_a_write_beyond_the_cut()
+    write, read = read_after_write_beyond_cut()
     assert read.outcome is decisions.Outcome.RAN
     assert read.value < write.value
 
 
 @pytest.mark.parametrize(
-    ("name", "where", "use", "outcome"),
+    ("name", "where", "action", "outcome"),
     [
         ("read inside, within its age", "inside", "read", "RAN"),
         ("order inside, primary outside", "inside", "write", "NOT_RUN"),
@@ -264,7 +271,9 @@
         ("order outside", "outside", "write", "RAN"),
     ],
 )
-def test_data_centre_without_the_primary_is_cut_off(name, where, use, outcome):
+def test_data_centre_without_the_primary_is_cut_off(
+    name, where, action, outcome
+):
     lab = standins.Lab(standins.LabPlan(staleness_s=30.0), 9)
     lab.timers.advance(1.5)
     inside = next(
@@ -280,14 +289,14 @@
     lab.cut_centre(inside)
     lab.timers.advance(2.0)
     node = lab.node_in(inside if where == "inside" else outside)
-    fut = session.read(node) if use == "read" else session.write(node)
+    fut = session.read(node) if action == "read" else session.write(node)
     lab.timers.advance(6.0)
     assert fut.result().outcome is decisions.Outcome[outcome], name
     assert lab.primary().replica.term == 1
 
 
 def test_data_centre_with_the_primary_is_cut_off_and_healed():
-    """Inside, orders are not acknowledged; outside they go on; none is lost."""
+    """Writes inside fail, writes outside succeed, and none is lost."""
     lab = standins.Lab(standins.LabPlan(staleness_s=30.0), 10)
     lab.timers.advance(1.5)
     inside = lab.primary().described.data_centre
@@ -295,9 +304,9 @@
     lab.cut_centre(inside)
     lab.timers.advance(2.0)
     cut_off = standins.LabSession(lab, "inside", timeout_s=2.0)
-    going_on = standins.LabSession(lab, "outside", timeout_s=2.0)
+    connected = standins.LabSession(lab, "outside", timeout_s=2.0)
     held = cut_off.write(lab.node_in(inside))
-    ran = going_on.write(lab.node_in(outside))
+    ran = connected.write(lab.node_in(outside))
     lab.timers.advance(3.0)
     assert held.result().outcome is decisions.Outcome.NOT_RUN
     assert ran.result().outcome is decisions.Outcome.RAN
@@ -327,8 +336,11 @@
 
 @pytest.mark.parametrize("seed", [6099, 42])
 def test_schedule_of_overlapping_faults_breaks_no_promise(seed):
-    """Seed 6099 lost 23 orders: a member that had just begun to follow a new
-    primary, and lacked entries, counted in the new term and was promoted."""
+    """Seed 6099 once lost 23 writes.
+
+    A member that had just begun to follow a new primary, and still lacked
+    entries, was counted in the new term and promoted.
+    """
     verdict, requests, _ = _bench_explore.explore(seed)
     assert verdict.total == 0
     assert requests > 500
--- a/packages/standins/src/ferry_standins/tests/test_ownership.py
+++ b/packages/standins/src/ferry_standins/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Two nodes that both hold that they serve a member."""
+"""Tests of two nodes that both believe they serve the same member."""
 
 import attrs
 import ferry_decisions as decisions
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def contested():
-    """Returns a lab and two services for its primary, on two nodes."""
+    """Returns a lab and two services for its primary on two nodes."""
     lab = standins.Lab(standins.LabPlan(), 3)
     lab.timers.advance(1.5)
     primary = lab.primary()
@@ -61,9 +61,13 @@
     return lab, lab.node_in(own).services[primary.name], second
 
 
-def contend(lab, services, rounds=30):
-    """Writes through both in turn; returns floors below an earlier write."""
-    missed = 0
+def write_through_either(lab, services, rounds=30):
+    """Writes through randomly chosen services and checks their floors.
+
+    Returns:
+        The number of floors that were below an earlier write.
+    """
+    missed_floors = 0
     written = decisions.ZERO_POSITION
     for number in range(1, rounds + 1):
         service = lab.random.choice(services)
@@ -72,19 +76,19 @@
         fut = service.execute(req, None)
         lab.timers.advance(lab.random.uniform(0.05, 2.6))
         if fut.done() and not fut.result().reason:
-            shown = decisions.Position.from_text(fut.result().position)
-            written = max(written, shown)
-        for asked in services:
-            floor = asked.position("clerk@lone-star")
+            position = decisions.Position.from_text(fut.result().position)
+            written = max(written, position)
+        for queried in services:
+            floor = queried.position("clerk@lone-star")
             lab.timers.advance(0.1)
             if floor.done() and floor.result() is not None:
-                missed += floor.result() < written
-    return missed
+                missed_floors += floor.result() < written
+    return missed_floors
 
 
 def test_contested_member_keeps_floors_and_its_limit(contested):
     lab, first, second = contested
-    assert contend(lab, [first, second]) == 0
+    assert write_through_either(lab, [first, second]) == 0
     assert lab.primary().peak_conns <= lab.database.primary_connections
     values = [value for _, value in lab.stored()]
     assert len(values) == len(set(values))
@@ -104,11 +108,11 @@
         monkeypatch.setattr(
             service.request_checks,
             "prove",
-            lambda _, s=service: _proved(lab, s),
+            lambda _, s=service: _prove_leadership(lab, s),
         )
-    assert contend(lab, [first, second]) > 0
+    assert write_through_either(lab, [first, second]) > 0
 
 
-def _proved(lab, service):
+def _prove_leadership(lab, service):
     yield decisions.sleep(lab.timers, 0.001)
     return lab.primary().status()
