--- a/packages/node/src/ferry_node/_contracts_api.py
+++ b/packages/node/src/ferry_node/_contracts_api.py
@@ -84,7 +84,7 @@
             ApiError: There is none.
         """
         book = self._node.contracts
-        fut = runtime.call_on(
+        fut = runtime.submit_to_loop(
             self._node.loop, lambda: decisions.completed(book.get(customer))
         )
         try:
@@ -124,7 +124,9 @@
         return self._run(lambda: self._change(customer, None, change))
 
     def _run(self, flow: "typing.Callable[[], decisions.Flow[T]]") -> T:
-        fut = runtime.call_on(self._node.loop, lambda: decisions.start(flow()))
+        fut = runtime.submit_to_loop(
+            self._node.loop, lambda: decisions.start(flow())
+        )
         try:
             return fut.result(WAIT_S)
         except decisions.StoreUnavailableError as exc:
--- a/packages/node/src/ferry_node/_node.py
+++ b/packages/node/src/ferry_node/_node.py
@@ -105,7 +105,7 @@
         )
         self.admin = _admin.AdminServer(self)
         self._subscribe()
-        loop.on_late(self._note_lateness)
+        loop.on_process_pause(self._note_lateness)
 
     @property
     def caller_port(self) -> int:
--- a/packages/standins/src/ferry_standins/_virtual.py
+++ b/packages/standins/src/ferry_standins/_virtual.py
@@ -39,7 +39,7 @@
         """Runs `callback` once, not before the end of a pause."""
         return self._timers.after(delay, lambda: self._fire(callback))
 
-    def on_late(self, callback: Callable[[float], object]) -> None:
+    def on_process_pause(self, callback: Callable[[float], object]) -> None:
         """Subscribes to pauses of the process."""
         self._late.append(callback)
 
