--- a/packages/runtime/src/ferry_runtime/__init__.py
+++ b/packages/runtime/src/ferry_runtime/__init__.py
@@ -1,4 +1,4 @@
-"""The event loop, streams and HTTP that all processes are built on."""
+"""Event loop, streams, HTTP and msgpack decoding, used by all processes."""
 
 from ferry_runtime._http import HttpCallFailedError
 from ferry_runtime._http import HttpClient
--- a/packages/runtime/src/ferry_runtime/_http.py
+++ b/packages/runtime/src/ferry_runtime/_http.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 on the event loop: a small client and a small server.
+"""Minimal HTTP/1.1 client and server on the event loop.
 
-The protocol itself is `h11`'s; this module moves its bytes over streams. One
-call occupies one connection. A connection is used again only after a whole
-reply, so a lost reply never answers a later call.
+`h11` implements the protocol; this module carries its bytes over streams. A
+connection serves one call at a time and is reused only after a complete reply,
+so a reply that arrives late is never taken for the reply to a later call.
 """
 
 from collections.abc import Callable
@@ -18,26 +18,37 @@
 from ferry_runtime import _streams
 
 MAX_IDLE_CONNS = 4
-STALLED_S = 0.4  # Many network trips without a byte of a reply that has begun.
-IDLE_REUSE_S = 8.0  # Servers commonly close idle connections after 10 s.
-USER_TIMEOUT_MS = 1_500  # Unacknowledged bytes end a connection.
-RECV_LIMIT_BYTES = 4 * 1024 * 1024  # Several values of a megabyte, encoded.
+
+# A reply that has begun fails after this long without another byte. The limit
+# covers many network round trips.
+STALL_TIMEOUT_S = 0.4
+
+# Idle connections are reused for less time than the 10 s after which servers
+# commonly close them.
+IDLE_REUSE_S = 8.0
+
+# The kernel ends a connection whose sent bytes stay unacknowledged this long.
+TCP_USER_TIMEOUT_MS = 1_500
+
+# Largest incomplete HTTP event. It has room for several encoded values of
+# 1 MB each.
+MAX_EVENT_BYTES = 4 * 1024 * 1024
 
 
 class HttpCallFailedError(Exception):
-    """A call has no reply; it may have been executed all the same."""
+    """A call got no complete reply; the server may still have executed it."""
 
 
 @attrs.frozen(slots=True)
 class HttpRequest:
-    """A request that a server took in.
+    """A complete request that a server received.
 
     Attributes:
         method: GET, POST and so on.
-        path: The target without its query.
-        query: The rest of the target, without the question mark.
-        headers: The header fields, by name in lower case.
-        body: The whole body.
+        path: The request target without its query.
+        query: The query string, without the question mark.
+        headers: Header fields by lower-case name.
+        body: The complete body.
     """
 
     method: str
@@ -49,12 +60,12 @@
 
 @attrs.frozen(slots=True)
 class HttpReply:
-    """A whole reply.
+    """A complete reply.
 
     Attributes:
-        status: The status code.
-        body: The whole body.
-        headers: The header fields, by name in lower case.
+        status: The HTTP status code.
+        body: The complete body.
+        headers: Header fields by lower-case name.
     """
 
     status: int
@@ -63,7 +74,7 @@
 
 
 def _fields(raw: Iterable[tuple[bytes, bytes]]) -> dict[str, str]:
-    """Returns header fields by name in lower case."""
+    """Returns decoded header fields by lower-case name."""
     return {
         name.decode("ascii").lower(): value.decode("latin-1")
         for name, value in raw
@@ -71,12 +82,12 @@
 
 
 class _ClientConn:
-    """One connection of the client; it carries one call at a time."""
+    """A client connection, which carries one call at a time."""
 
     def __init__(self, loop: _loop.EventLoop, host: str, port: int) -> None:
         self._host = f"{host}:{port}"
         self._conn = h11.Connection(
-            h11.CLIENT, max_incomplete_event_size=RECV_LIMIT_BYTES
+            h11.CLIENT, max_incomplete_event_size=MAX_EVENT_BYTES
         )
         self._fut: decisions.Future[HttpReply] | None = None
         self._status = 0
@@ -84,24 +95,24 @@
         self._body: list[bytes] = []
         self._stream = _streams.connect(loop, host, port)
         self._stream.on_data = self._receive
-        self._stream.on_closed = self._lost
-        self._stream.keep_alive(USER_TIMEOUT_MS)
+        self._stream.on_closed = self._on_closed
+        self._stream.keep_alive(TCP_USER_TIMEOUT_MS)
         self._loop = loop
-        self.used = loop.now()
-        self.heard: float | None = None
+        self.last_used_at = loop.now()
+        self.last_received_at: float | None = None
 
     @property
     def reusable(self) -> bool:
-        """Whether another call may follow."""
+        """Whether the connection is open and has no call in progress."""
         return not self._stream.closed and self._fut is None
 
     def call(
         self, method: str, target: str, headers: dict[str, str], body: bytes
     ) -> "decisions.Future[HttpReply]":
-        """Sends a request; returns the future of its reply."""
+        """Sends a request and returns a future of its reply."""
         fut: decisions.Future[HttpReply] = decisions.Future()
         self._fut = fut
-        self.heard = None
+        self.last_received_at = None
         self._status = 0
         self._body = []
         fields = {"Host": self._host, **headers}
@@ -117,7 +128,7 @@
         return fut
 
     def abort(self) -> None:
-        """Closes the connection; its reply will not be awaited any more."""
+        """Resets the connection, which discards any reply still to come."""
         self._stream.abort()
 
     def _send(self, event: h11.Event) -> None:
@@ -126,16 +137,16 @@
             self._stream.send(data)
 
     def _receive(self, data: bytes) -> None:
-        self.heard = self._loop.now()
+        self.last_received_at = self._loop.now()
         try:
             self._conn.receive_data(data)
-            while self._take(self._conn.next_event()):
+            while self._handle_event(self._conn.next_event()):
                 pass
         except h11.RemoteProtocolError as exc:
             self._fail(str(exc))
 
-    def _take(self, event: typing.Any) -> bool:
-        """Takes one event in; returns whether more may follow."""
+    def _handle_event(self, event: typing.Any) -> bool:
+        """Handles an `h11` event and returns whether to ask for another."""
         if isinstance(event, h11.Response):
             self._status = event.status_code
             self._headers = _fields(event.headers)
@@ -157,7 +168,7 @@
             reply = HttpReply(self._status, body, self._headers)
             decisions.resolve(fut, reply)
 
-    def _lost(self, exc: _streams.StreamClosedError) -> None:
+    def _on_closed(self, exc: _streams.StreamClosedError) -> None:
         self._fail(str(exc))
 
     def _fail(self, detail: str) -> None:
@@ -168,7 +179,7 @@
 
 
 class HttpClient:
-    """Calls one server, over connections that are kept open."""
+    """Calls one server and keeps idle connections for later calls."""
 
     def __init__(self, loop: _loop.EventLoop, host: str, port: int) -> None:
         self._loop = loop
@@ -184,23 +195,24 @@
         headers: dict[str, str] | None = None,
         body: bytes = b"",
     ) -> "decisions.Future[HttpReply]":
-        """Sends a request.
-
-        Fails with `HttpCallFailedError` where no reply begins in time, or
-        where one that has begun does not go on; the connection is then reset,
-        so that nothing of it arrives later than what is already on its way. A
-        reply that takes long on a narrow link is not given up: it would be
-        asked for again, whole.
+        """Sends a request and returns a future of its reply.
+
+        The future fails with `HttpCallFailedError` if no reply begins within
+        `timeout_s`, or if a reply that has begun stalls for `STALL_TIMEOUT_S`.
+        The connection is then reset, so the server receives nothing beyond
+        what is already in flight. A reply that is slow but makes progress, as
+        on a narrow link, has no time limit: after a failure the caller would
+        request all of it again.
         """
         conn = self._conn()
         inner = conn.call(method, target, headers or {}, body)
         out: decisions.Future[HttpReply] = decisions.Future()
-        self._look_after(timeout_s, conn, out)
-        inner.add_done_callback(lambda fut: self._settle(conn, fut, out))
+        self._watch_progress(timeout_s, conn, out)
+        inner.add_done_callback(lambda fut: self._finish_call(conn, fut, out))
         return out
 
     def close(self) -> None:
-        """Closes the idle connections."""
+        """Closes all idle connections."""
         idle, self._idle = self._idle, []
         for conn in idle:
             conn.abort()
@@ -209,40 +221,45 @@
         now = self._loop.now()
         while self._idle:
             conn = self._idle.pop()
-            if conn.reusable and now - conn.used < IDLE_REUSE_S:
+            if conn.reusable and now - conn.last_used_at < IDLE_REUSE_S:
                 return conn
             conn.abort()
         return _ClientConn(self._loop, self._host, self._port)
 
-    def _settle(
+    def _finish_call(
         self,
         conn: _ClientConn,
         inner: "decisions.Future[HttpReply]",
         out: "decisions.Future[HttpReply]",
     ) -> None:
         if conn.reusable and len(self._idle) < MAX_IDLE_CONNS:
-            conn.used = self._loop.now()
+            conn.last_used_at = self._loop.now()
             self._idle.append(conn)
         else:
             conn.abort()
         decisions.forward(inner, out)
 
-    def _look_after(
+    def _watch_progress(
         self,
-        pause_s: float,
+        wait_s: float,
         conn: _ClientConn,
         out: "decisions.Future[HttpReply]",
     ) -> None:
-        """Looks after a time whether a reply comes, and again if it does."""
-        timer = self._loop.after(pause_s, lambda: self._expire(conn, out))
+        """Checks after `wait_s`, and repeatedly, that the reply progresses."""
+        timer = self._loop.after(
+            wait_s, lambda: self._check_progress(conn, out)
+        )
         out.add_done_callback(lambda _: timer.cancel())
 
-    def _expire(
+    def _check_progress(
         self, conn: _ClientConn, out: "decisions.Future[HttpReply]"
     ) -> None:
-        heard = conn.heard
-        if heard is not None and self._loop.now() - heard < STALLED_S:
-            self._look_after(STALLED_S, conn, out)
+        last_received_at = conn.last_received_at
+        if (
+            last_received_at is not None
+            and self._loop.now() - last_received_at < STALL_TIMEOUT_S
+        ):
+            self._watch_progress(STALL_TIMEOUT_S, conn, out)
             return
         conn.abort()
         decisions.reject(out, HttpCallFailedError("no reply in time"))
@@ -252,7 +269,7 @@
 
 
 class _ServerConn:
-    """One connection of the server."""
+    """A server connection, which passes each request to the handler."""
 
     def __init__(self, stream: _streams.Stream, handler: Handler) -> None:
         self._stream = stream
@@ -266,26 +283,26 @@
         try:
             if data:
                 self._conn.receive_data(data)
-            while self._take(self._conn.next_event()):
+            while self._handle_event(self._conn.next_event()):
                 pass
         except h11.RemoteProtocolError as exc:
-            decisions.log_debug("bad HTTP request: %s", exc)
+            decisions.log_debug("invalid HTTP request: %s", exc)
             self._stream.close()
 
-    def _take(self, event: typing.Any) -> bool:
+    def _handle_event(self, event: typing.Any) -> bool:
         if isinstance(event, h11.Request):
             self._req = event
             self._body = []
         elif isinstance(event, h11.Data):
             self._body.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self._answer()
+            self._handle_request()
         elif isinstance(event, h11.ConnectionClosed):
             self._stream.close()
             return False
         return event not in (h11.NEED_DATA, h11.PAUSED)
 
-    def _answer(self) -> None:
+    def _handle_request(self) -> None:
         req = self._req
         if req is None:
             return
@@ -320,7 +337,7 @@
 
 
 class HttpServer:
-    """Answers each request by one handler, at once."""
+    """Accepts connections and passes each request to one handler."""
 
     def __init__(
         self, loop: _loop.EventLoop, host: str, port: int, handler: Handler
@@ -330,7 +347,7 @@
         self.port = self._listener.port
 
     def close(self) -> None:
-        """Stops listening."""
+        """Stops listening; open connections remain."""
         self._listener.close()
 
     def _accept(self, stream: _streams.Stream) -> None:
--- a/packages/runtime/src/ferry_runtime/_streams.py
+++ b/packages/runtime/src/ferry_runtime/_streams.py
@@ -22,10 +22,10 @@
 
 
 class StreamClosedError(ConnectionError):
-    """The stream is closed.
+    """The stream is closed or could not be opened.
 
     Attributes:
-        refused: Whether the other machine refused the connection.
+        refused: Whether the remote host refused the connection.
     """
 
     def __init__(self, detail: str, refused: bool = False) -> None:
@@ -34,10 +34,14 @@
 
 
 class Stream:
-    """A byte stream that calls back with what arrives.
+    """A byte stream that reports received data through callbacks.
 
-    `on_data` gets each chunk, `on_closed` the reason once, `on_open` runs when
-    a connection that this side began is established.
+    Attributes:
+        closed: Whether the stream is closed.
+        on_data: Receives each chunk of data.
+        on_closed: Receives the reason, once, when the stream fails or the peer
+            closes it. A local `close` or `abort` does not call it.
+        on_open: Called when an outgoing connection is established.
     """
 
     __slots__ = (
@@ -70,28 +74,28 @@
         self.closed = False
         self.on_data: Callable[[bytes], object] = _ignore
         self.on_closed: Callable[[StreamClosedError], object] = _ignore
-        self.on_open: Callable[[], object] = _nothing
+        self.on_open: Callable[[], object] = _no_op
         sock.setblocking(False)
         self._events = _WRITE if opening else _READ
         loop.register(sock, self._events, self._ready)
 
     @property
     def queued(self) -> int:
-        """Bytes that wait to be sent."""
+        """Number of bytes that are queued for sending."""
         return len(self._out) if self._out else 0
 
     @property
     def is_opening(self) -> bool:
-        """Whether the connection is not established yet."""
+        """Whether an outgoing connection is still being established."""
         return self._opening and not self.closed
 
     @property
     def is_tls(self) -> bool:
-        """Whether the stream is encrypted."""
+        """Whether TLS has been started on this stream."""
         return self._tls is not None
 
     def send(self, data: bytes) -> None:
-        """Sends bytes, or queues what the socket does not take now."""
+        """Sends bytes and queues those that the socket does not accept yet."""
         if self.closed:
             return
         if self._out or self._opening or self._handshaking:
@@ -109,17 +113,17 @@
             self._queue(data[sent:])
 
     def pause(self) -> None:
-        """Stops reading until `resume`."""
+        """Stops reading until `resume` is called."""
         self._paused = True
-        self._update()
+        self._update_events()
 
     def resume(self) -> None:
-        """Reads again."""
+        """Resumes reading after `pause`."""
         self._paused = False
-        self._update()
+        self._update_events()
 
     def start_tls(self, context: "ssl.SSLContext") -> None:
-        """Starts TLS as the server; data flows after the handshake."""
+        """Starts TLS as the server; data is sent only after the handshake."""
         from ferry_runtime import _tls
 
         assert isinstance(self._sock, socket.socket)
@@ -130,10 +134,10 @@
         self._loop.register(self._sock, self._events, self._ready)
 
     def keep_alive(self, timeout_ms: int) -> None:
-        """Lets the kernel end a connection whose other end is silent.
+        """Makes the kernel close the connection if the peer stops responding.
 
         Args:
-            timeout_ms: Time for sent bytes to be acknowledged.
+            timeout_ms: Time within which the peer must acknowledge sent bytes.
         """
         sock = self._sock
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -143,7 +147,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
 
     def close(self) -> None:
-        """Closes at once, without calling `on_closed`."""
+        """Closes immediately, without calling `on_closed`."""
         if self.closed:
             return
         self.closed = True
@@ -152,7 +156,7 @@
         self._sock.close()
 
     def abort(self) -> None:
-        """Closes with a reset, so that queued bytes are not delivered."""
+        """Closes with a TCP reset, which discards bytes not yet delivered."""
         if self.closed:
             return
         linger = struct.pack("ii", 1, 0)
@@ -160,7 +164,7 @@
         self.close()
 
     def close_when_sent(self) -> None:
-        """Closes once all queued bytes are sent."""
+        """Closes as soon as all queued bytes have been sent."""
         if not self._out:
             self.close()
             return
@@ -170,9 +174,9 @@
         if self._out is None:
             self._out = bytearray()
         self._out += data
-        self._update()
+        self._update_events()
 
-    def _update(self) -> None:
+    def _update_events(self) -> None:
         if self.closed or self._opening or self._handshaking:
             return
         events = 0 if self._paused else _READ
@@ -204,10 +208,10 @@
         assert isinstance(self._sock, socket.socket)
         code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
-            self._fail(errno.errorcode.get(code, str(code)), _refused(code))
+            self._fail(errno.errorcode.get(code, str(code)), _is_refusal(code))
             return
         self._opening = False
-        self._update()
+        self._update_events()
         self.on_open()
 
     def _continue_handshake(self) -> None:
@@ -219,12 +223,12 @@
         except OSError as exc:
             self._fail(str(exc))
             return
-        self._handshaking = need is not _tls.Need.NOTHING
-        events = _WRITE if need is _tls.Need.WRITE else _READ
+        self._handshaking = need is not _tls.HandshakeWait.DONE
+        events = _WRITE if need is _tls.HandshakeWait.WRITE else _READ
         if events != self._events:
             self._loop.modify(self._sock, events, self._ready)
             self._events = events
-        self._update()
+        self._update_events()
 
     def _flush(self) -> None:
         if not self._out:
@@ -242,7 +246,7 @@
             if self._closing:
                 self.close()
                 return
-        self._update()
+        self._update_events()
 
     def _receive(self) -> None:
         for _ in range(MAX_READS_PER_EVENT):
@@ -273,7 +277,7 @@
 
 
 class Listener:
-    """A listening TCP socket that hands over accepted streams."""
+    """A listening TCP socket that passes accepted streams to a callback."""
 
     def __init__(
         self,
@@ -316,11 +320,11 @@
     stream = Stream(loop, sock, opening=True)
     if code not in (0, errno.EINPROGRESS):
         detail = errno.errorcode.get(code, str(code))
-        loop.call_soon(lambda: stream._fail(detail, _refused(code)))
+        loop.call_soon(lambda: stream._fail(detail, _is_refusal(code)))
     return stream
 
 
-def _refused(code: int) -> bool:
+def _is_refusal(code: int) -> bool:
     return code == errno.ECONNREFUSED
 
 
@@ -328,5 +332,5 @@
     return None
 
 
-def _nothing() -> None:
+def _no_op() -> None:
     return None
--- a/packages/runtime/src/ferry_runtime/_tls.py
+++ b/packages/runtime/src/ferry_runtime/_tls.py
@@ -1,7 +1,7 @@
-"""TLS on a socket that does not block.
+"""TLS on a non-blocking socket.
 
-A module of its own: a process whose callers use no TLS does not load the
-library, which takes 4.9 MB of resident memory and 20 ms of a core at a start.
+This is a separate module so that a process whose callers use no TLS does not
+load `ssl`, which costs 4.9 MB of resident memory and 20 ms of CPU at startup.
 """
 
 from collections.abc import Callable
@@ -13,19 +13,19 @@
 T = typing.TypeVar("T")
 
 
-class Need(enum.Enum):
-    """What a handshake waits for."""
+class HandshakeWait(enum.Enum):
+    """The socket event that a TLS handshake waits for, if any."""
 
     READ = "read"
     WRITE = "write"
-    NOTHING = "nothing"
+    DONE = "nothing"
 
 
 class TlsSocket:
-    """A server's end of TLS, with the calls of a socket that streams use.
+    """The server side of a TLS connection, with the socket methods of streams.
 
-    Where TLS itself has to read or write first, calls raise
-    `BlockingIOError` like those of a plain socket.
+    Like a plain non-blocking socket, `send` and `recv` raise `BlockingIOError`
+    when TLS itself must first read or write.
     """
 
     def __init__(self, sock: socket.socket, context: ssl.SSLContext) -> None:
@@ -33,43 +33,44 @@
             sock, server_side=True, do_handshake_on_connect=False
         )
 
-    def handshake(self) -> Need:
-        """Goes on with the handshake.
+    def handshake(self) -> HandshakeWait:
+        """Continues the handshake; returns what it waits for.
 
         Raises:
-            OSError: The other side does not speak TLS, or not as it has to.
+            OSError: The handshake failed: the peer does not use TLS or
+                violated the protocol.
         """
         try:
             self._sock.do_handshake()
         except ssl.SSLWantReadError:
-            return Need.READ
+            return HandshakeWait.READ
         except ssl.SSLWantWriteError:
-            return Need.WRITE
-        return Need.NOTHING
+            return HandshakeWait.WRITE
+        return HandshakeWait.DONE
 
     @property
     def has_pending(self) -> bool:
-        """Whether bytes were decrypted and not read yet."""
+        """Whether decrypted bytes are waiting to be read."""
         return bool(self._sock.pending())
 
     def send(self, data: bytes | bytearray) -> int:
-        """Sends bytes; returns how many."""
+        """Sends bytes and returns how many were accepted."""
         return _call(lambda: self._sock.send(data))
 
     def recv(self, size: int) -> bytes:
-        """Receives bytes."""
+        """Receives up to `size` decrypted bytes."""
         return _call(lambda: self._sock.recv(size))
 
     def setsockopt(self, level: int, option: int, value: int | bytes) -> None:
-        """Sets an option of the socket."""
+        """Sets an option of the underlying socket."""
         self._sock.setsockopt(level, option, value)
 
     def fileno(self) -> int:
-        """Returns the socket's descriptor."""
+        """Returns the file descriptor of the underlying socket."""
         return self._sock.fileno()
 
     def close(self) -> None:
-        """Closes the socket."""
+        """Closes the underlying socket."""
         self._sock.close()
 
 
--- a/packages/runtime/src/ferry_runtime/_values.py
+++ b/packages/runtime/src/ferry_runtime/_values.py
@@ -1,9 +1,10 @@
-"""Cutting the bytes of a stream into msgpack values.
+"""Decodes the bytes of a stream into msgpack values.
 
-The library's unpacker holds a stack of 45 KB and a buffer that grows to what
-it was once fed. A node keeps tens of streams, so a stream holds an unpacker
-only while a value of its is incomplete: 100 streams that had carried 400 KB
-each took 39 MB of resident memory with one unpacker each, and 0.1 MB so.
+An unpacker of the library holds a stack of 45 KB and a buffer that never
+shrinks. A node has tens of streams, so a stream holds an unpacker only while
+one of its values is incomplete, and spare unpackers are shared. For 100 streams
+that had carried 400 KB each, one unpacker per stream took 39 MB of resident
+memory, and sharing took 0.1 MB.
 """
 
 import typing
@@ -11,69 +12,78 @@
 import msgpack
 
 FIRST_BUFFER_BYTES = 1 << 10
-MAX_SPARE = 4  # Streams whose values are incomplete at the same time are few.
-MAX_KEPT_BUFFER_BYTES = 64 << 10  # A buffer that grew further is given up.
+
+# Few streams have an incomplete value at the same time.
+MAX_SPARE_UNPACKERS = 4
+
+# An unpacker whose buffer has grown beyond this size is not reused.
+MAX_KEPT_BUFFER_BYTES = 64 << 10
 
 
 class InvalidMessageError(ValueError):
-    """Bytes of a stream are no msgpack values."""
+    """The bytes of a stream are not valid msgpack, or a value is too large."""
 
 
 class _Unpacker:
-    """An unpacker of the library, and how much its buffer has held."""
+    """An unpacker of the library with the peak size of its buffer."""
 
-    __slots__ = ("raw", "limit", "most")
+    __slots__ = ("raw", "limit", "peak_bytes")
 
     def __init__(self, limit: int) -> None:
         self.raw = msgpack.Unpacker(
             max_buffer_size=limit, read_size=FIRST_BUFFER_BYTES
         )
         self.limit = limit
-        self.most = 0
+        self.peak_bytes = 0
 
 
 _spare: dict[int, list[_Unpacker]] = {}
 
 
 class ValueDecoder:
-    """Decodes the values of one stream."""
+    """Decodes the values of one stream from chunks of any size."""
 
-    __slots__ = ("_limit", "_unpacker", "_fed", "_whole")
+    __slots__ = ("_limit", "_unpacker", "_fed_offset", "_complete_offset")
 
     def __init__(self, max_bytes: int) -> None:
-        """Makes a decoder.
+        """Initializes the decoder.
 
         Args:
-            max_bytes: The largest value that is read.
+            max_bytes: The size of the largest value that is accepted.
         """
         self._limit = max_bytes
         self._unpacker: _Unpacker | None = None
-        self._fed = 0  # The unpacker's offset after the last byte it got,
-        self._whole = 0  # and after the last value that was complete.
+        # Offsets in the unpacker's input: after the last byte that was fed,
+        # and after the last complete value.
+        self._fed_offset = 0
+        self._complete_offset = 0
 
     def feed(self, data: bytes) -> list[typing.Any]:
-        """Returns the values that are complete now.
+        """Returns the values that `data` completes.
 
         Raises:
-            InvalidMessageError: The bytes are no values, or one is too large.
+            InvalidMessageError: The bytes are not valid msgpack, or a value is
+                too large.
         """
         unpacker = self._unpacker
         if unpacker is None:
-            unpacker = _take(self._limit)
-            self._fed = self._whole = unpacker.raw.tell()
-        self._fed += len(data)
-        unpacker.most = max(unpacker.most, self._fed - self._whole)
+            unpacker = _acquire_unpacker(self._limit)
+            self._fed_offset = self._complete_offset = unpacker.raw.tell()
+        self._fed_offset += len(data)
+        unpacker.peak_bytes = max(
+            unpacker.peak_bytes, self._fed_offset - self._complete_offset
+        )
         try:
             values = self._complete_values(unpacker.raw, data)
         except (msgpack.UnpackException, ValueError, TypeError) as exc:
-            self._unpacker = None  # What it holds is of no use to others.
+            self._unpacker = None  # Its invalid content rules out any reuse.
             raise InvalidMessageError(repr(exc)) from exc
-        # An unpacker moves on within a value, too: only the end of the last
-        # complete one tells whether it holds a part of the next.
-        is_empty = self._fed == self._whole
+        # An unpacker's offset also advances within an incomplete value, so it
+        # takes the end of the last complete one to tell if anything remains.
+        is_empty = self._fed_offset == self._complete_offset
         self._unpacker = None if is_empty else unpacker
         if is_empty:
-            _keep(unpacker)
+            _release_unpacker(unpacker)
         return values
 
     def _complete_values(
@@ -83,21 +93,21 @@
         values = []
         for value in raw:
             values.append(value)
-            self._whole = raw.tell()
+            self._complete_offset = raw.tell()
         return values
 
 
-def _take(limit: int) -> _Unpacker:
-    """Returns an unpacker that holds nothing; several threads may ask."""
+def _acquire_unpacker(limit: int) -> _Unpacker:
+    """Returns an empty unpacker; may be called from several threads."""
     try:
         return _spare[limit].pop()
     except (KeyError, IndexError):
         return _Unpacker(limit)
 
 
-def _keep(unpacker: _Unpacker) -> None:
-    """Keeps an unpacker for the next stream, unless its buffer is large."""
+def _release_unpacker(unpacker: _Unpacker) -> None:
+    """Keeps an empty unpacker for reuse, unless its buffer is large."""
     spare = _spare.setdefault(unpacker.limit, [])
-    is_small = unpacker.most <= MAX_KEPT_BUFFER_BYTES
-    if is_small and len(spare) < MAX_SPARE:
+    is_small = unpacker.peak_bytes <= MAX_KEPT_BUFFER_BYTES
+    if is_small and len(spare) < MAX_SPARE_UNPACKERS:
         spare.append(unpacker)
--- a/packages/runtime/src/ferry_runtime/tests/test_http.py
+++ b/packages/runtime/src/ferry_runtime/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP client and server, against each other and against broken ones."""
+"""Tests the HTTP client and server together and against faulty servers."""
 
 import time
 
@@ -7,11 +7,12 @@
 
 import ferry_runtime as runtime
 
-LIMIT_S = 10.0  # Only ends a test that hangs.
+# A safety net that ends a test which would otherwise hang.
+LIMIT_S = 10.0
 
 
 def finish(loop, fut):
-    """Runs the loop until a future is done."""
+    """Runs the loop until `fut` is done or `LIMIT_S` has passed."""
     end = time.monotonic() + LIMIT_S
     while not fut.done() and time.monotonic() < end:
         loop.step()
@@ -94,7 +95,7 @@
     ("gap_s", "pieces", "is_whole"), [(0.02, 12, True), (0.6, 2, False)]
 )
 def test_a_reply_that_has_begun_may_take_long(loop, gap_s, pieces, is_whole):
-    """It is given up only where it does not go on."""
+    """A reply may outlast the timeout if it progresses, not if it stalls."""
     body = b"x" * pieces
 
     def accept(stream):
--- a/packages/runtime/src/ferry_runtime/tests/test_tls.py
+++ b/packages/runtime/src/ferry_runtime/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS on streams, against the standard library's client."""
+"""Tests TLS on streams against the standard library's client."""
 
 from collections.abc import Iterator
 import pathlib
@@ -15,7 +15,7 @@
 
 
 class EchoServer:
-    """Starts TLS on each stream and sends back what arrives."""
+    """Starts TLS on each accepted stream and echoes the received bytes."""
 
     def __init__(self) -> None:
         self.loop = runtime.EventLoop()
@@ -54,10 +54,10 @@
 
 @pytest.mark.parametrize("size", [1, 20_000, 3_000_000])
 def test_bytes_pass_whole_in_both_directions(server, size):
-    """More than a record, and more than the buffers between the two hold."""
+    """The sizes exceed one TLS record and the socket buffers in between."""
     sent = bytes(n % 251 for n in range(size))
     client = connect(server)
-    client.sendall(sent)  # The server keeps what is not fetched yet.
+    client.sendall(sent)  # The server queues what is not read yet.
     received = bytearray()
     while len(received) < size:
         received += client.recv(65_536)
--- a/packages/runtime/src/ferry_runtime/tests/test_values.py
+++ b/packages/runtime/src/ferry_runtime/tests/test_values.py
@@ -1,4 +1,4 @@
-"""Decoding of msgpack values from streams."""
+"""Tests decoding of msgpack values from streams."""
 
 import pathlib
 import resource
@@ -22,7 +22,7 @@
 
 @pytest.mark.parametrize("size", [1, 7, 1000, 100_000])
 def test_values_are_decoded_however_the_bytes_are_cut(size: int) -> None:
-    """Pieces of any size give the same values."""
+    """Chunks of any size yield the same values."""
     whole = _rest() * 3
     decoder = runtime.ValueDecoder(LIMIT_BYTES)
     pieces = [whole[i : i + size] for i in range(0, len(whole), size)]
@@ -32,10 +32,11 @@
 
 @pytest.mark.parametrize("cut", range(1, len(_ping())))
 def test_streams_between_values_do_not_disturb_each_other(cut: int) -> None:
-    """Parts of values on several streams, in turn, cut anywhere.
+    """Decodes values on several streams in turn, cut at any byte.
 
-    An unpacker that had read up to the end of an element counted as empty
-    once, and the next stream's bytes went into the first one's value.
+    Guards against an unpacker that is taken for empty when the cut is at the
+    end of an element. It was shared then, and the bytes of the next stream
+    became part of the first stream's value.
     """
     raw = _ping()
     decoders = [runtime.ValueDecoder(LIMIT_BYTES) for _ in range(10)]
@@ -45,7 +46,7 @@
 
 
 def test_bytes_that_are_no_values_harm_one_stream_only() -> None:
-    """Whatever an unpacker held when it failed is not met again."""
+    """An unpacker that failed is not reused for another stream."""
     bad = runtime.ValueDecoder(LIMIT_BYTES)
     with pytest.raises(runtime.InvalidMessageError):
         bad.feed(b"\xc1" + _rest())
@@ -54,7 +55,7 @@
 
 
 def test_a_value_that_is_too_large_is_refused() -> None:
-    """The limit holds for what waits to be complete."""
+    """The size limit applies to values that are still incomplete."""
     decoder = runtime.ValueDecoder(1024)
     with pytest.raises(runtime.InvalidMessageError):
         decoder.feed(_rest())
@@ -66,7 +67,7 @@
 
 
 def test_streams_hold_no_memory_for_what_they_carried() -> None:
-    """100 streams of 400 KB each: 39 MB with an unpacker each, 0.1 MB so."""
+    """100 streams of 400 KB each: 39 MB if unshared, 0.1 MB when shared."""
     decoders = [runtime.ValueDecoder(LIMIT_BYTES) for _ in range(STREAMS)]
     raw = _rest()
     before = _resident_bytes()
