--- a/packages/ctl/src/ferry_ctl/_api.py
+++ b/packages/ctl/src/ferry_ctl/_api.py
@@ -71,18 +71,18 @@
                 timeout=TIMEOUT_S,
                 retries=False,
             )
-            shown = json.loads(reply.data)
+            document = json.loads(reply.data)
         except (urllib3.exceptions.HTTPError, ValueError) as exc:
             raise ApiCallError(f"{self.url}: {exc!r}") from exc
         if reply.status >= 400:
-            raise ApiCallError(_refusal(shown))
+            raise ApiCallError(_error_text(document))
         version = reply.headers.get("ETag", "").strip('"')
-        return Reply(shown, version)
+        return Reply(document, version)
 
 
-def _refusal(shown: typing.Any) -> str:
-    lines = [f"{shown.get('error')}: {shown.get('detail')}"]
-    lines += [f"  {mistake}" for mistake in shown.get("mistakes", [])]
+def _error_text(document: typing.Any) -> str:
+    lines = [f"{document.get('error')}: {document.get('detail')}"]
+    lines += [f"  {mistake}" for mistake in document.get("mistakes", [])]
     return "\n".join(lines)
 
 
--- a/packages/ctl/src/ferry_ctl/_bench.py
+++ b/packages/ctl/src/ferry_ctl/_bench.py
@@ -74,8 +74,8 @@
 def path(as_json: bool, direct: str, through: str, pid: int) -> None:
     """Cost of the path against processes that already run."""
     report = _bench_path.run(
-        _bench_path.Place(direct),
-        _bench_path.Place(through, _standins.PASSWORD),
+        _bench_path.Target(direct),
+        _bench_path.Target(through, _standins.PASSWORD),
         pid,
     )
     _report.show(report, as_json)
@@ -95,8 +95,8 @@
 @click.option("--pid", type=int, required=True, help="That node's process.")
 def idle(as_json: bool, through: str, pid: int) -> None:
     """A node's memory for each idle caller."""
-    place = _bench_path.Place(through, _standins.PASSWORD)
-    _report.show(_bench_idle.run(place, pid), as_json)
+    target = _bench_path.Target(through, _standins.PASSWORD)
+    _report.show(_bench_idle.run(target, pid), as_json)
 
 
 @bench.command("overload")
--- a/packages/ctl/src/ferry_ctl/_bench_capacity.py
+++ b/packages/ctl/src/ferry_ctl/_bench_capacity.py
@@ -28,11 +28,11 @@
 CHANGES_PER_DAY = 730
 DAY_S = 86_400
 SERVICES = DATABASES * MEMBERS / NODES
-PROBE_S = 1.0
+PROBE_INTERVAL_S = 1.0
 SILENCE_S = 2.2
 WATCH_RUN_S = 10.0
-GAP_SEEDS = 6
-TCP_BYTES = 80
+FAILOVER_RUNS = 6
+TCP_OVERHEAD_BYTES = 80
 TICKS = 50
 TICKS_PER_S = 1 / 0.3
 STREAM_SIZES = (50, 150, 400)
@@ -67,11 +67,11 @@
     slope = sxy / sxx
     base = mean_y - slope * mean_x
     total = sum((y - mean_y) ** 2 for _, y in points)
-    left = sum((y - base - slope * x) ** 2 for x, y in points)
-    return Fit(slope, base, 1.0 - left / total if total else 1.0)
+    residual = sum((y - base - slope * x) ** 2 for x, y in points)
+    return Fit(slope, base, 1.0 - residual / total if total else 1.0)
 
 
-def _fitted(
+def _measure_slope(
     figures: _report.Figures,
     name: str,
     sizes: tuple[int, ...],
@@ -91,7 +91,7 @@
 
 def _watch_cpu(count: int) -> float:
     """Returns processor seconds a second for watching databases."""
-    policy = node.PolicySettings(probe_s=PROBE_S, silence_s=SILENCE_S)
+    policy = node.PolicySettings(probe_s=PROBE_INTERVAL_S, silence_s=SILENCE_S)
     labs = [
         standins.Lab(standins.LabPlan(policy=policy), seed)
         for seed in range(count)
@@ -101,8 +101,8 @@
     began = time.process_time()
     for lab in labs:
         lab.timers.advance(WATCH_RUN_S)
-    used = time.process_time() - began
-    return used / WATCH_RUN_S / len(standins.LabPlan().centres)
+    cpu_s = time.process_time() - began
+    return cpu_s / WATCH_RUN_S / len(standins.LabPlan().centres)
 
 
 def _probe_bytes() -> tuple[int, int]:
@@ -119,8 +119,8 @@
         owner="spanish-town-12/0123abcd",
         upstream_silence_s=0.123456,
     )
-    shown = json.dumps(decisions.unstructure(status))
-    return asked + TCP_BYTES, len(shown) + 60 + TCP_BYTES
+    encoded = json.dumps(decisions.unstructure(status))
+    return asked + TCP_OVERHEAD_BYTES, len(encoded) + 60 + TCP_OVERHEAD_BYTES
 
 
 def _probe_cpu(count: int) -> float:
@@ -146,7 +146,7 @@
     tracemalloc.start()
     directory = decisions.Directory()
     book = decisions.ContractBook()
-    kept: list[object] = []
+    retained: list[object] = []
     logins = tuple(
         node.make_login(name, "password", b"0123456789abcdef")
         for name in ("clerk", "dealer")
@@ -168,7 +168,7 @@
         record = decisions.Record(
             f"db-{index}", 3, members[0].name, starts=((1, 0), (2, 9), (3, 20))
         )
-        kept += [database, record]
+        retained += [database, record]
         for prefix, value in (
             (decisions.CONTRACT_PREFIX, contract),
             (decisions.TOPOLOGY_PREFIX, database),
@@ -190,18 +190,18 @@
     queue = decisions.AdmissionQueue(
         timers, 5, decisions.ADMISSION_POLICIES.get("fair")()
     )
-    held: list[decisions.Slot] = []
+    held_slots: list[decisions.Slot] = []
     for index in range(customers):
         contract = decisions.Contract(
             customer=f"c{index}", databases=("d",), share=1, connections=1
         )
         for _ in range(10):
             fut = queue.acquire(contract, 1e9)
-            fut.add_done_callback(lambda done: held.append(done.result()))
+            fut.add_done_callback(lambda done: held_slots.append(done.result()))
     rounds = min(customers * 10 - 5, 2_000)
     began = time.process_time()
     for _ in range(rounds):
-        queue.release(held.pop(0))
+        queue.release(held_slots.pop(0))
     return (time.process_time() - began) / rounds
 
 
@@ -212,12 +212,12 @@
     sent = sum(n.bytes_sent for n in swarm.nodes.values())
     began = time.process_time()
     swarm.timers.advance(6.0)
-    used = time.process_time() - began
-    more = sum(n.bytes_sent for n in swarm.nodes.values()) - sent
-    return used / nodes / 6.0, more / nodes / 6.0
+    cpu_s = time.process_time() - began
+    bytes_sent = sum(n.bytes_sent for n in swarm.nodes.values()) - sent
+    return cpu_s / nodes / 6.0, bytes_sent / nodes / 6.0
 
 
-def _step(loop: runtime.EventLoop) -> None:
+def _run_ready(loop: runtime.EventLoop) -> None:
     """Runs what is ready, without waiting."""
     loop.call_soon(lambda: None)
     loop.step()
@@ -233,9 +233,9 @@
     for index in range(count):
         target = decisions.Node(f"n{index}", "dc", "127.0.0.1", here.port, 1)
         here.stream(target)
-        _step(loop)
+        _run_ready(loop)
     for _ in range(count):
-        _step(loop)
+        _run_ready(loop)
     size = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     began = time.process_time()
@@ -250,31 +250,31 @@
 def run(seed: int) -> _report.Report:
     """Returns slopes, and the figures at the design size."""
     figures: _report.Figures = {}
-    watch = _fitted(figures, "watch_core", (2, 8, 24), _watch_cpu)
-    probe = _fitted(figures, "probe_cpu_s", (200, 800, 3200), _probe_cpu)
-    directory = _fitted(
+    watch = _measure_slope(figures, "watch_core", (2, 8, 24), _watch_cpu)
+    probe = _measure_slope(figures, "probe_cpu_s", (200, 800, 3200), _probe_cpu)
+    directory = _measure_slope(
         figures, "directory_bytes", (100, 300, 740), _directory_bytes
     )
-    admission = _fitted(
+    admission = _measure_slope(
         figures, "admission_cpu_s", (10, 100, 1000), _admission_cpu
     )
     costs = {size: _swarm_cost(size) for size in (50, 150, 410)}
-    member_core = _fitted(
+    member_core = _measure_slope(
         figures, "membership_core", (50, 150, 410), lambda n: costs[n][0]
     )
-    member_bytes = _fitted(
+    member_bytes = _measure_slope(
         figures, "membership_bytes_per_s", (50, 150, 410), lambda n: costs[n][1]
     )
     streams = {size: _peer_streams(size) for size in STREAM_SIZES}
-    stream = _fitted(
+    stream = _measure_slope(
         figures, "peer_stream_bytes", STREAM_SIZES, lambda n: streams[n][0]
     )
-    tick = _fitted(
+    tick = _measure_slope(
         figures, "peer_tick_s", STREAM_SIZES, lambda n: streams[n][1]
     )
     figures["peer_streams_mb_per_node"] = stream.at(NODES) / 1e6
     asked, answered = _probe_bytes()
-    probes_per_s = SERVICES * MEMBERS / PROBE_S
+    probes_per_s = SERVICES * MEMBERS / PROBE_INTERVAL_S
     figures["probe_bytes_asked"] = asked
     figures["probe_bytes_answered"] = answered
     figures["services_per_node"] = SERVICES
@@ -294,11 +294,13 @@
     figures["statements_per_s_per_node"] = STATEMENTS_PER_S / NODES
     figures["config_changes_per_s"] = CHANGES_PER_DAY / DAY_S
     plan = standins.LabPlan(
-        policy=node.PolicySettings(probe_s=PROBE_S, silence_s=SILENCE_S)
+        policy=node.PolicySettings(
+            probe_s=PROBE_INTERVAL_S, silence_s=SILENCE_S
+        )
     )
     gaps = [
         _bench_failover.run_fault("isolated", seed + i, False, plan)
-        for i in range(GAP_SEEDS)
+        for i in range(FAILOVER_RUNS)
     ]
     figures["gap_median_s_at_size"] = _report.median([g.gap_s for g in gaps])
     figures["gap_worst_s_at_size"] = max(g.gap_s for g in gaps)
--- a/packages/ctl/src/ferry_ctl/_bench_explore.py
+++ b/packages/ctl/src/ferry_ctl/_bench_explore.py
@@ -9,11 +9,11 @@
 STEP_S = 0.02
 SESSIONS = 8
 SETTLE_S = 12.0
-FAULT_EVERY_S = 1.5
+MEAN_FAULT_INTERVAL_S = 1.5
 WRITE_SHARE = 0.4
 
 
-class _Faults:
+class _FaultInjector:
     """Begins and ends faults at random, several at a time."""
 
     def __init__(self, lab: standins.Lab) -> None:
@@ -33,8 +33,8 @@
             self._cut_centre,
             self._pause_node,
             self._pause_member,
-            self._store,
-            self._lag,
+            self._fail_store,
+            self._delay_replication,
         )
         rng.choice(kinds)(member, length)
 
@@ -75,20 +75,20 @@
             length, lambda: self._lab.group.set_down(member, False)
         )
 
-    def _store(self, member: str, length: float) -> None:
+    def _fail_store(self, member: str, length: float) -> None:
         store = self._lab.store
         if self._lab.random.random() < 0.5:
             store.lose_answers += 1
             return
         store.down = True
 
-        def up() -> None:
+        def restore() -> None:
             store.down = False
             self._lab.sync_records()
 
-        self._lab.timers.after(length, up)
+        self._lab.timers.after(length, restore)
 
-    def _lag(self, member: str, length: float) -> None:
+    def _delay_replication(self, member: str, length: float) -> None:
         faults = self._lab.link_faults
         faults.delay_s = self._lab.random.uniform(0.002, 0.3)
         faults.apply_s = self._lab.random.uniform(0.0, 1.0)
@@ -104,7 +104,7 @@
         for i in range(SESSIONS)
     ]
     busy: set[str] = set()
-    faults = _Faults(lab)
+    faults = _FaultInjector(lab)
     next_fault = lab.timers.now() + 0.5
     end = lab.timers.now() + RUN_S
     while lab.timers.now() < end:
@@ -115,9 +115,9 @@
         lab.timers.advance(STEP_S * lab.random.uniform(0.2, 1.8))
         if lab.timers.now() > next_fault:
             faults.begin_one()
-            pause = lab.random.expovariate(1.0 / FAULT_EVERY_S)
+            pause = lab.random.expovariate(1.0 / MEAN_FAULT_INTERVAL_S)
             next_fault = lab.timers.now() + pause
-    _end_all(lab)
+    _heal_all(lab)
     return lab.verdict(), len(lab.operations), faults.count
 
 
@@ -135,7 +135,7 @@
     fut.add_done_callback(lambda _: busy.discard(session.name))
 
 
-def _end_all(lab: standins.Lab) -> None:
+def _heal_all(lab: standins.Lab) -> None:
     """Ends all faults and lets everything come to rest."""
     lab.store.down = False
     lab.link_faults.delay_s = 0.002
@@ -156,13 +156,13 @@
     figures: _report.Figures = {}
     requests = 0
     faults = 0
-    worst = -1
+    last_bad_seed = -1
     for number in range(seed, seed + seeds):
-        found, sent, begun = explore(number)
-        requests += sent
-        faults += begun
+        found, request_count, fault_count = explore(number)
+        requests += request_count
+        faults += fault_count
         if found.total:
-            worst = number
+            last_bad_seed = number
         totals = standins.Verdict(
             *(
                 a + b
@@ -178,5 +178,5 @@
     figures["schedules"] = seeds
     figures["requests"] = requests
     figures["faults"] = faults
-    figures["last_bad_seed"] = worst
+    figures["last_bad_seed"] = last_bad_seed
     return _report.Report("explore", seed, figures)
--- a/packages/ctl/src/ferry_ctl/_bench_failover.py
+++ b/packages/ctl/src/ferry_ctl/_bench_failover.py
@@ -13,9 +13,9 @@
 WRITE_EVERY_S = 0.025
 READ_SHARE = 0.3
 ORDER_TIMEOUT_S = 8.0
-SLOW_S = 3.0
-FLAP_S = (0.5, 0.3)
-GAP_COUNTS_S = 0.3
+SLOWDOWN_S = 3.0
+FLAP_DOWN_UP_S = (0.5, 0.3)
+RECOVERY_CHECK_DELAY_S = 0.3
 
 
 @attrs.frozen
@@ -47,12 +47,12 @@
     def __init__(self, lab: standins.Lab) -> None:
         self._lab = lab
         self._nodes = list(lab.members_of.values())
-        self._homes: dict[str, standins.LabNode | None] = {}
+        self._fixed_nodes: dict[str, standins.LabNode | None] = {}
         self._sessions: list[standins.LabSession] = []
-        homes = [*self._nodes, *self._nodes, None, None]
-        for index, home in enumerate(homes):
+        fixed_nodes = [*self._nodes, *self._nodes, None, None]
+        for index, fixed_node in enumerate(fixed_nodes):
             name = f"clerk-{index}"
-            self._homes[name] = home
+            self._fixed_nodes[name] = fixed_node
             self._sessions.append(
                 standins.LabSession(lab, name, timeout_s=ORDER_TIMEOUT_S)
             )
@@ -66,7 +66,7 @@
 
     def _send(self, session: standins.LabSession) -> None:
         rng = self._lab.random
-        node = self._homes[session.name] or rng.choice(self._nodes)
+        node = self._fixed_nodes[session.name] or rng.choice(self._nodes)
         is_read = rng.random() < READ_SHARE
         fut = session.read(node) if is_read else session.write(node)
         if not fut.done():
@@ -86,15 +86,15 @@
     began = lab.timers.now()
     if store_down:
         lab.store.down = True
-        lab.timers.after(STORE_OUTAGE_S, lambda: _store_up(lab))
+        lab.timers.after(STORE_OUTAGE_S, lambda: _restore_store(lab))
     _inject(lab, kind, old)
     while lab.timers.now() - began < MAX_RUN_S:
         _run_for(lab, writers, 0.2)
         if kind in ("slow", "flapping"):
             continue
-        if _acks_after(lab, began + GAP_COUNTS_S):
+        if _acks_after(lab, began + RECOVERY_CHECK_DELAY_S):
             break
-    _settle(lab, old, kind)
+    _heal(lab, old, kind)
     acks = [
         op.ended
         for op in lab.operations
@@ -114,7 +114,7 @@
     )
 
 
-def _store_up(lab: standins.Lab) -> None:
+def _restore_store(lab: standins.Lab) -> None:
     lab.store.down = False
 
 
@@ -125,11 +125,9 @@
         lab.timers.advance(WRITE_EVERY_S)
 
 
-def _acks_after(lab: standins.Lab, moment: float) -> bool:
+def _acks_after(lab: standins.Lab, since: float) -> bool:
     return any(
-        op.is_write
-        and op.outcome is decisions.Outcome.RAN
-        and op.begun > moment
+        op.is_write and op.outcome is decisions.Outcome.RAN and op.begun > since
         for op in lab.operations[-50:]
     )
 
@@ -147,7 +145,7 @@
             lab.group.set_down(old, True)
         case "slow":
             member.slow_s = 0.9
-            lab.timers.after(SLOW_S, lambda: setattr(member, "slow_s", 0.0))
+            lab.timers.after(SLOWDOWN_S, lambda: setattr(member, "slow_s", 0.0))
         case "flapping":
             _flap(lab, old, 4)
         case "centre_cut":
@@ -158,13 +156,13 @@
     """Isolates a member again and again, too briefly to be replaced."""
     if not times:
         return
-    down, up = FLAP_S
+    down, up = FLAP_DOWN_UP_S
     lab.isolate(old)
     lab.timers.after(down, lambda: lab.heal(old))
     lab.timers.after(down + up, lambda: _flap(lab, old, times - 1))
 
 
-def _settle(lab: standins.Lab, old: str, kind: str) -> None:
+def _heal(lab: standins.Lab, old: str, kind: str) -> None:
     """Ends the fault and lets the old primary come back."""
     lab.store.down = False
     lab.members[old].silent = False
@@ -212,15 +210,15 @@
 def run(seed: int, seeds: int) -> _report.Report:
     """Returns the gaps over many seeded faults of each kind."""
     figures: _report.Figures = {}
-    every: list[GapResult] = []
-    hard: list[float] = []
+    all_results: list[GapResult] = []
+    lasting_gaps: list[float] = []
     plan = standins.LabPlan()
     for kind in KINDS:
         found = [run_fault(kind, seed + i, False, plan) for i in range(seeds)]
-        every += found
+        all_results += found
         gaps = [r.gap_s for r in found]
         if kind not in ("slow", "flapping"):
-            hard += gaps
+            lasting_gaps += gaps
         figures[f"gap_{kind}_median_s"] = _report.median(gaps)
         figures[f"gap_{kind}_worst_s"] = max(gaps)
         figures[f"promotions_{kind}"] = sum(r.promotions for r in found)
@@ -228,16 +226,18 @@
         run_fault("isolated", seed + i, True, plan)
         for i in range(max(1, seeds // 4))
     ]
-    every += down
+    all_results += down
     figures["gap_store_down_2s_median_s"] = _report.median(
         [r.gap_s for r in down]
     )
     figures["gap_store_down_2s_worst_s"] = max(r.gap_s for r in down)
-    figures["gap_median_s"] = _report.median(hard)
-    figures["gap_worst_s"] = max(hard)
-    figures["violations"] = sum(r.violations for r in every)
-    figures["not_recovered"] = sum(not r.recovered for r in every)
-    figures["unknown_per_fault"] = sum(r.unknown for r in every) / len(every)
-    figures["faults"] = len(every)
+    figures["gap_median_s"] = _report.median(lasting_gaps)
+    figures["gap_worst_s"] = max(lasting_gaps)
+    figures["violations"] = sum(r.violations for r in all_results)
+    figures["not_recovered"] = sum(not r.recovered for r in all_results)
+    figures["unknown_per_fault"] = sum(r.unknown for r in all_results) / len(
+        all_results
+    )
+    figures["faults"] = len(all_results)
     figures["false_promotions_per_hour"] = false_promotions(seed, 10.0) * 6
     return _report.Report("failover-gap", seed, figures)
--- a/packages/ctl/src/ferry_ctl/_bench_fairness.py
+++ b/packages/ctl/src/ferry_ctl/_bench_fairness.py
@@ -10,11 +10,11 @@
 SLOTS = 5
 SERVICE_S = 0.005
 RUN_S = 16.0
-TAIL_S = 1.5
+DRAIN_S = 1.5
 WARM_UP_S = 3.0
 TIMEOUT_S = 10.0
-CALM_LOAD = 0.8
-FLOOD = 10.0
+MODERATE_LOAD = 0.8
+FLOOD_LOAD = 10.0
 
 
 @attrs.frozen
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class Scene:
+class Scenario:
     """A mix of customers.
 
     Attributes:
@@ -47,35 +47,42 @@
     name: str
     demands: tuple[Demand, ...]
     amend_at_s: float = 0.0
-    gap_at_s: float = 0.0
+    outage_at_s: float = 0.0
 
 
 LARGE = "lone-star"
 SMALL = "blue-mountain"
 LIGHT_LOAD = 0.4
-HUNDRED = tuple(Demand(f"base-{i}", 1, LIGHT_LOAD) for i in range(100))
-SCENES = (
-    Scene(
-        "large_floods", (Demand(LARGE, 20, FLOOD), Demand(SMALL, 5, CALM_LOAD))
+HUNDRED_LIGHT_LOADS = tuple(
+    Demand(f"base-{i}", 1, LIGHT_LOAD) for i in range(100)
+)
+SCENARIOS = (
+    Scenario(
+        "large_floods",
+        (Demand(LARGE, 20, FLOOD_LOAD), Demand(SMALL, 5, MODERATE_LOAD)),
+    ),
+    Scenario(
+        "small_floods",
+        (Demand(SMALL, 5, FLOOD_LOAD), Demand(LARGE, 20, MODERATE_LOAD)),
     ),
-    Scene(
-        "small_floods", (Demand(SMALL, 5, FLOOD), Demand(LARGE, 20, CALM_LOAD))
+    Scenario(
+        "large_floods_100",
+        (Demand(LARGE, 100, FLOOD_LOAD), *HUNDRED_LIGHT_LOADS),
     ),
-    Scene("large_floods_100", (Demand(LARGE, 100, FLOOD), *HUNDRED)),
-    Scene(
+    Scenario(
         "amended_and_lost",
-        (Demand(LARGE, 20, FLOOD), Demand(SMALL, 5, LIGHT_LOAD)),
+        (Demand(LARGE, 20, FLOOD_LOAD), Demand(SMALL, 5, LIGHT_LOAD)),
         amend_at_s=6.0,
-        gap_at_s=12.0,
+        outage_at_s=12.0,
     ),
 )
-GAP_S = 1.0
-AFTER_GAP = "wait_ratio_amended_and_lost"
+OUTAGE_S = 1.0
+EXCLUDED_FROM_WORST = "wait_ratio_amended_and_lost"
 """Not in the worst ratio: nobody is served in the gap itself."""
 
 
 @attrs.define
-class Served:
+class CustomerResult:
     """What one customer got.
 
     Attributes:
@@ -85,8 +92,8 @@
         refused: Statements that were refused.
     """
 
-    asked_s: float = 0.0
-    got_s: float = 0.0
+    requested_s: float = 0.0
+    received_s: float = 0.0
     waits: list[float] = attrs.field(factory=list)
     refused: int = 0
 
@@ -95,18 +102,18 @@
     """One scene under one order."""
 
     def __init__(
-        self, scene: Scene, order: str, seed: int, alone: str = ""
+        self, scenario: Scenario, order: str, seed: int, alone: str = ""
     ) -> None:
-        self.scene = scene
+        self.scenario = scenario
         self.timers = decisions.VirtualTimers()
         self.rng = random.Random(seed)
         self.queue = decisions.AdmissionQueue(
             self.timers, SLOTS, decisions.ADMISSION_POLICIES.get(order)()
         )
-        self.served: dict[str, Served] = {}
+        self.served: dict[str, CustomerResult] = {}
         self.busy_s = 0.0
         self.down_until = 0.0
-        self._total = sum(d.share for d in scene.demands)
+        self._total = sum(d.share for d in scenario.demands)
         self._contracts = {
             d.customer: decisions.Contract(
                 customer=d.customer,
@@ -115,32 +122,32 @@
                 connections=10,
                 queue=200,
             )
-            for d in scene.demands
+            for d in scenario.demands
         }
-        for demand in scene.demands:
-            self.served[demand.customer] = Served()
+        for demand in scenario.demands:
+            self.served[demand.customer] = CustomerResult()
             if not alone or alone == demand.customer:
                 self._arrive_later(demand)
-        if scene.amend_at_s and not alone:
-            self.timers.after(scene.amend_at_s, self._amend)
-        if scene.gap_at_s and not alone:
-            self.timers.after(scene.gap_at_s, self._lose)
+        if scenario.amend_at_s and not alone:
+            self.timers.after(scenario.amend_at_s, self._amend)
+        if scenario.outage_at_s and not alone:
+            self.timers.after(scenario.outage_at_s, self._lose_slots)
 
     def run(self) -> None:
         """Runs the scene to its end."""
-        self.timers.run_until(RUN_S + TAIL_S)
+        self.timers.run_until(RUN_S + DRAIN_S)
 
     def _amend(self) -> None:
-        first = self.scene.demands[0].customer
+        first = self.scenario.demands[0].customer
         known = self._contracts[first]
         self._contracts[first] = attrs.evolve(known, share=known.share * 2)
 
-    def _lose(self) -> None:
-        self.down_until = self.timers.now() + GAP_S
+    def _lose_slots(self) -> None:
+        self.down_until = self.timers.now() + OUTAGE_S
 
     def _arrive_later(self, demand: Demand) -> None:
-        part = SLOTS * demand.share / self._total
-        rate = demand.load * part / SERVICE_S
+        slot_share = SLOTS * demand.share / self._total
+        rate = demand.load * slot_share / SERVICE_S
         pause = self.rng.expovariate(rate)
         self.timers.after(pause, lambda: self._arrive(demand))
 
@@ -149,9 +156,9 @@
         now = self.timers.now()
         service_s = self.rng.expovariate(1.0 / SERVICE_S)
         served = self.served[demand.customer]
-        counts = WARM_UP_S <= now < RUN_S
-        if counts:
-            served.asked_s += service_s
+        is_measured = WARM_UP_S <= now < RUN_S
+        if is_measured:
+            served.requested_s += service_s
         contract = self._contracts[demand.customer]
         fut = self.queue.acquire(contract, now + TIMEOUT_S)
 
@@ -159,69 +166,76 @@
             if done.exception() is not None:
                 served.refused += 1
                 return
-            self._serve(served, done.result(), service_s, now, counts)
+            self._serve(served, done.result(), service_s, now, is_measured)
 
         fut.add_done_callback(granted)
 
     def _serve(
         self,
-        served: Served,
+        served: CustomerResult,
         slot: decisions.Slot,
         service_s: float,
         asked_at: float,
-        counts: bool,
+        is_measured: bool,
     ) -> None:
         now = self.timers.now()
-        held = max(0.0, self.down_until - now)
-        if counts:
+        outage_wait_s = max(0.0, self.down_until - now)
+        if is_measured:
             served.waits.append(now - asked_at)
-            served.got_s += service_s
-        self.busy_s += service_s + held
-        self.timers.after(service_s + held, lambda: self.queue.release(slot))
+            served.received_s += service_s
+        self.busy_s += service_s + outage_wait_s
+        self.timers.after(
+            service_s + outage_wait_s, lambda: self.queue.release(slot)
+        )
 
 
-def _alone_p99(scene: Scene, customer: str, order: str, seed: int) -> float:
-    run = _Run(scene, order, seed, alone=customer)
+def _p99_alone(
+    scenario: Scenario, customer: str, order: str, seed: int
+) -> float:
+    run = _Run(scenario, order, seed, alone=customer)
     run.run()
     return _report.percentile(run.served[customer].waits, 0.99)
 
 
-def _scene_figures(scene: Scene, order: str, seed: int) -> _report.Figures:
-    run = _Run(scene, order, seed)
+def _scenario_figures(
+    scenario: Scenario, order: str, seed: int
+) -> _report.Figures:
+    run = _Run(scenario, order, seed)
     run.run()
     errors = []
     ratios = []
     p99s = []
-    calm = [d for d in scene.demands if d.load <= 1.0]
-    alone = _alone_p99(scene, calm[0].customer, order, seed)
-    for demand in calm:
+    below_share = [d for d in scenario.demands if d.load <= 1.0]
+    alone = _p99_alone(scenario, below_share[0].customer, order, seed)
+    for demand in below_share:
         served = run.served[demand.customer]
-        errors.append(abs(1.0 - served.got_s / served.asked_s))
+        errors.append(abs(1.0 - served.received_s / served.requested_s))
         p99 = _report.percentile(served.waits, 0.99)
         p99s.append(p99)
         ratios.append(max(0.0, p99 - SERVICE_S) / max(alone, SERVICE_S))
     return {
-        f"share_error_worst_{scene.name}": max(errors),
-        f"p99_wait_s_{scene.name}": max(p99s),
-        f"p99_wait_alone_s_{scene.name}": alone,
-        f"p99_wait_ratio_{scene.name}": max(ratios),
-        f"utilisation_{scene.name}": run.busy_s / (SLOTS * (RUN_S + TAIL_S)),
+        f"share_error_worst_{scenario.name}": max(errors),
+        f"p99_wait_s_{scenario.name}": max(p99s),
+        f"p99_wait_alone_s_{scenario.name}": alone,
+        f"p99_wait_ratio_{scenario.name}": max(ratios),
+        f"utilisation_{scenario.name}": run.busy_s
+        / (SLOTS * (RUN_S + DRAIN_S)),
     }
 
 
 def _figures(order: str, seed: int) -> _report.Figures:
     figures: _report.Figures = {}
-    for scene in SCENES:
-        figures.update(_scene_figures(scene, order, seed))
-    for name, pick in (
+    for scenario in SCENARIOS:
+        figures.update(_scenario_figures(scenario, order, seed))
+    for name, choose in (
         ("share_error_worst", max),
         ("p99_wait_ratio", max),
         ("utilisation", min),
     ):
-        chosen = pick(
+        chosen = choose(
             v
             for n, v in figures.items()
-            if n.startswith(name) and not n.endswith(AFTER_GAP)
+            if n.startswith(name) and not n.endswith(EXCLUDED_FROM_WORST)
         )
         figures[name.replace("ratio", "ratio_worst")] = chosen
     return figures
--- a/packages/ctl/src/ferry_ctl/_bench_idle.py
+++ b/packages/ctl/src/ferry_ctl/_bench_idle.py
@@ -14,32 +14,32 @@
 SETTLE_S = 1.0
 
 
-def run(place: _bench_path.Place, pid: int) -> _report.Report:
+def run(target: _bench_path.Target, pid: int) -> _report.Report:
     """Returns the process's memory at several numbers of callers."""
-    _bench_path.wait_for(place)
-    warm = [place.connect() for _ in range(WARM_UP)]
+    _bench_path.wait_until_ready(target)
+    warm = [target.connect() for _ in range(WARM_UP)]
     figures: _report.Figures = {}
     points: list[tuple[float, float]] = []
     conns: list[psycopg.Connection[tuple[int]]] = []
     for size in SIZES:
         while len(conns) < size:
-            conn = place.connect()
+            conn = target.connect()
             conn.execute("SELECT 1")
             conns.append(conn)
         time.sleep(SETTLE_S)
-        used = _processes.resident_bytes(pid)
-        figures[f"resident_mb_at_{size}"] = used / 1e6
-        points.append((float(size), float(used)))
+        resident = _processes.resident_bytes(pid)
+        figures[f"resident_mb_at_{size}"] = resident / 1e6
+        points.append((float(size), float(resident)))
     cpu = _processes.processor_seconds(pid)
     time.sleep(5 * SETTLE_S)
-    idle = (_processes.processor_seconds(pid) - cpu) / (5 * SETTLE_S)
+    core_share = (_processes.processor_seconds(pid) - cpu) / (5 * SETTLE_S)
     line = _bench_capacity.fit(points)
     figures["bytes_per_idle_caller"] = line.slope
     figures["r2"] = line.r2
     figures["base_mb"] = line.base / 1e6
-    figures["core_share_idle"] = idle
+    figures["core_share_idle"] = core_share
     per_node = _bench_capacity.CALLERS / _bench_capacity.NODES
     figures["mb_at_design_size"] = line.at(per_node) / 1e6
-    for each in [*warm, *conns]:
-        each.close()
+    for conn in [*warm, *conns]:
+        conn.close()
     return _report.Report("idle", 0, figures)
--- a/packages/ctl/src/ferry_ctl/_bench_membership.py
+++ b/packages/ctl/src/ferry_ctl/_bench_membership.py
@@ -7,75 +7,75 @@
 from ferry_ctl import _report
 
 SIZES = (7, 50, 410)
-CALM_S = 6.0
-WATCH_S = 14.0
-NOISE_S = 20.0
+STEADY_S = 6.0
+DETECTION_LIMIT_S = 14.0
+NOISY_S = 20.0
 PAUSE_S = 1.0
 LOSS = 0.05
 STEP_S = 0.1
 KILLS = 3
-WATCHERS = 60
+OBSERVERS = 60
 
 
 def _detection(size: int, seed: int, loss: float) -> list[float]:
     """Returns the times until nodes stopped using a node that died."""
     swarm = standins.Swarm(standins.SwarmPlan(nodes=size, loss=loss), seed)
-    swarm.timers.advance(CALM_S)
+    swarm.timers.advance(STEADY_S)
     dead = swarm.random.sample(list(swarm.nodes), min(KILLS, size // 3))
     for name in dead:
         swarm.kill(name)
     died_at = swarm.timers.now()
     times: list[float] = []
-    living = [name for name, node in swarm.nodes.items() if node.alive]
-    watchers = swarm.random.sample(living, min(WATCHERS, len(living)))
-    waiting = {(watcher, name) for watcher in watchers for name in dead}
-    while waiting and swarm.timers.now() - died_at < WATCH_S:
+    survivors = [name for name, node in swarm.nodes.items() if node.alive]
+    observers = swarm.random.sample(survivors, min(OBSERVERS, len(survivors)))
+    pending = {(observer, name) for observer in observers for name in dead}
+    while pending and swarm.timers.now() - died_at < DETECTION_LIMIT_S:
         swarm.timers.advance(STEP_S)
-        for watcher, name in list(waiting):
-            names = {n.name for n in swarm.nodes[watcher].view.alive()}
+        for observer, name in list(pending):
+            names = {n.name for n in swarm.nodes[observer].view.alive()}
             if name not in names:
-                waiting.discard((watcher, name))
+                pending.discard((observer, name))
                 times.append(swarm.timers.now() - died_at)
-    times += [WATCH_S] * len(waiting)
+    times += [DETECTION_LIMIT_S] * len(pending)
     return times
 
 
 def _false_deaths(size: int, seed: int) -> tuple[int, int]:
     """Returns suspicions and false deaths under loss and pauses of 1 s."""
     swarm = standins.Swarm(standins.SwarmPlan(nodes=size, loss=LOSS), seed)
-    swarm.timers.advance(CALM_S)
+    swarm.timers.advance(STEADY_S)
     before = sum(n.view.suspicions for n in swarm.nodes.values())
-    end = swarm.timers.now() + NOISE_S
-    wrong: set[tuple[str, str]] = set()
+    end = swarm.timers.now() + NOISY_S
+    false_deaths: set[tuple[str, str]] = set()
     while swarm.timers.now() < end:
         swarm.timers.advance(1.0)
         paused = swarm.random.choice(list(swarm.nodes))
         swarm.nodes[paused].timers.pause(PAUSE_S)
         for name, node in swarm.nodes.items():
             alive = {n.name for n in node.view.alive()}
-            wrong |= {
+            false_deaths |= {
                 (name, other) for other in swarm.nodes if other not in alive
             }
     after = sum(n.view.suspicions for n in swarm.nodes.values())
-    return after - before, len({other for _, other in wrong})
+    return after - before, len({other for _, other in false_deaths})
 
 
 def _cost(size: int, seed: int) -> tuple[float, float]:
     """Returns bytes and processor seconds per node and second, in calm."""
     swarm = standins.Swarm(standins.SwarmPlan(nodes=size), seed)
-    swarm.timers.advance(CALM_S)
+    swarm.timers.advance(STEADY_S)
     sent = sum(n.bytes_sent for n in swarm.nodes.values())
     began = time.process_time()
-    swarm.timers.advance(CALM_S)
+    swarm.timers.advance(STEADY_S)
     used = time.process_time() - began
-    more = sum(n.bytes_sent for n in swarm.nodes.values()) - sent
-    return more / size / CALM_S, used / size / CALM_S
+    sent_later = sum(n.bytes_sent for n in swarm.nodes.values()) - sent
+    return sent_later / size / STEADY_S, used / size / STEADY_S
 
 
 def _healing(size: int, seed: int) -> float:
     """Returns the time to full views after a data centre's cut of 30 s."""
     swarm = standins.Swarm(standins.SwarmPlan(nodes=size), seed)
-    swarm.timers.advance(CALM_S)
+    swarm.timers.advance(STEADY_S)
     for other in range(1, swarm.plan.centres):
         swarm.cut.add(frozenset(("dc-0", f"dc-{other}")))
     swarm.timers.advance(30.0)
--- a/packages/ctl/src/ferry_ctl/_bench_overload.py
+++ b/packages/ctl/src/ferry_ctl/_bench_overload.py
@@ -27,10 +27,10 @@
     """
 
     goodput: float
-    refused_s: float
-    most_held: int
+    refusal_s: float
+    max_in_flight: int
     violations: int
-    tries_ratio: float
+    runs_per_request: float
 
 
 def run_load(load: float, seed: int) -> LoadResult:
@@ -53,20 +53,20 @@
     nodes = list(lab.members_of.values())
     end = lab.timers.now() + RUN_S
     begun = lab.timers.now()
-    held = 0
-    most = 0
+    in_flight = 0
+    max_in_flight = 0
     sent = 0
     while lab.timers.now() < end:
         lab.timers.advance(lab.random.expovariate(load * capacity))
         session = standins.LabSession(lab, f"s{sent}", timeout_s=TIMEOUT_S)
         sent += 1
-        held += 1
-        most = max(most, held)
+        in_flight += 1
+        max_in_flight = max(max_in_flight, in_flight)
         fut = session.write(lab.random.choice(nodes))
 
         def done(_: object) -> None:
-            nonlocal held
-            held -= 1
+            nonlocal in_flight
+            in_flight -= 1
 
         fut.add_done_callback(done)
     lab.timers.advance(DRAIN_S)
@@ -80,10 +80,10 @@
     counted = [op for op in in_time if begun + 1.0 <= op.ended <= end]
     return LoadResult(
         goodput=len(counted) / (RUN_S - 1.0),
-        refused_s=_report.median(refused),
-        most_held=most,
+        refusal_s=_report.median(refused),
+        max_in_flight=max_in_flight,
         violations=lab.verdict().total,
-        tries_ratio=len(lab.stored()) / max(1, sent),
+        runs_per_request=len(lab.stored()) / max(1, sent),
     )
 
 
@@ -94,10 +94,10 @@
     for load, result in found.items():
         name = f"{load:g}x"
         figures[f"goodput_per_s_{name}"] = result.goodput
-        figures[f"refused_median_s_{name}"] = result.refused_s
-        figures[f"most_held_{name}"] = result.most_held
+        figures[f"refused_median_s_{name}"] = result.refusal_s
+        figures[f"most_held_{name}"] = result.max_in_flight
         figures[f"violations_{name}"] = result.violations
-        figures[f"runs_per_request_{name}"] = result.tries_ratio
+        figures[f"runs_per_request_{name}"] = result.runs_per_request
     peak = max(r.goodput for r in found.values())
     figures["goodput_ratio_at_5x"] = found[5.0].goodput / peak
     figures["violations"] = sum(r.violations for r in found.values())
--- a/packages/ctl/src/ferry_ctl/_bench_path.py
+++ b/packages/ctl/src/ferry_ctl/_bench_path.py
@@ -18,11 +18,11 @@
 CLIENTS = 8
 PIPELINE = 50
 SQL = "SELECT 1"
-WAIT_S = 20.0
+STARTUP_TIMEOUT_S = 20.0
 
 
 @attrs.frozen
-class Place:
+class Target:
     """Where statements are sent.
 
     Attributes:
@@ -40,12 +40,12 @@
         )
 
 
-def _latency(place: Place, token: bool) -> float:
+def _latency(target: Target, token: bool) -> float:
     """Returns the median seconds of a statement at one connection."""
     times = []
-    with place.connect() as conn:
+    with target.connect() as conn:
         if token:
-            _carry_token(conn)
+            _keep_session_token(conn)
         for _ in range(LATENCY_STATEMENTS):
             begun = time.perf_counter()
             conn.execute(SQL).fetchone()
@@ -53,10 +53,10 @@
     return _report.median(times)
 
 
-def _client(place: Place, end: float, pipeline: int) -> int:
+def _client(target: Target, end: float, pipeline: int) -> int:
     done = 0
-    with place.connect() as conn:
-        _carry_token(conn)
+    with target.connect() as conn:
+        _keep_session_token(conn)
         while time.perf_counter() < end:
             if pipeline == 1:
                 conn.execute(SQL)
@@ -68,7 +68,7 @@
     return done
 
 
-def _carry_token(conn: "psycopg.Connection[tuple[int]]") -> None:
+def _keep_session_token(conn: "psycopg.Connection[tuple[int]]") -> None:
     """Makes a connection keep its floors itself, where it can."""
     conn.execute(SQL)
     token = conn.pgconn.parameter_status(b"rosemaryferry.session")
@@ -76,24 +76,24 @@
         conn.execute(f"SET rosemaryferry.session = '{token.decode()}'")
 
 
-def _throughput(place: Place, pipeline: int) -> float:
+def _throughput(target: Target, pipeline: int) -> float:
     """Returns statements a second with several clients."""
     begun = time.perf_counter()
     end = begun + THROUGHPUT_S
     with concurrent.futures.ThreadPoolExecutor(CLIENTS) as pool:
         futs = [
-            pool.submit(_client, place, end, pipeline) for _ in range(CLIENTS)
+            pool.submit(_client, target, end, pipeline) for _ in range(CLIENTS)
         ]
         done = sum(f.result() for f in futs)
     return done / (time.perf_counter() - begun)
 
 
-def wait_for(place: Place) -> None:
+def wait_until_ready(target: Target) -> None:
     """Waits until a place answers."""
-    end = time.monotonic() + WAIT_S
+    end = time.monotonic() + STARTUP_TIMEOUT_S
     while True:
         try:
-            with place.connect() as conn:
+            with target.connect() as conn:
                 conn.execute(SQL)
             return
         except psycopg.Error as exc:
@@ -102,15 +102,15 @@
             time.sleep(0.1)
 
 
-def run(direct: Place, through: Place, pid: int) -> _report.Report:
+def run(direct: Target, through: Target, pid: int) -> _report.Report:
     """Returns the cost through a node beside the cost without it."""
-    for place in (direct, through):
-        wait_for(place)
+    for target in (direct, through):
+        wait_until_ready(target)
     before = _latency(direct, token=False)
     with_token = _latency(through, token=True)
     without = _latency(through, token=False)
     after = _latency(direct, token=False)
-    near = min(before, after)
+    direct_latency = min(before, after)
     cpu = _processes.processor_seconds(pid)
     rate = _throughput(through, 1)
     cpu = _processes.processor_seconds(pid) - cpu
@@ -123,9 +123,9 @@
         {
             "latency_median_s": with_token,
             "latency_no_token_median_s": without,
-            "latency_ratio": with_token / near,
-            "latency_no_token_ratio": without / near,
-            "noise_ratio": max(before, after) / near,
+            "latency_ratio": with_token / direct_latency,
+            "latency_no_token_ratio": without / direct_latency,
+            "noise_ratio": max(before, after) / direct_latency,
             "statements_per_s": rate,
             "statements_per_s_pipelined": pipelined,
             "throughput_ratio": rate / direct_rate,
@@ -134,7 +134,7 @@
         },
         {
             "direct": {
-                "latency_median_s": near,
+                "latency_median_s": direct_latency,
                 "statements_per_s": direct_rate,
                 "statements_per_s_pipelined": direct_pipelined,
             }
--- a/packages/ctl/src/ferry_ctl/_bench_replicas.py
+++ b/packages/ctl/src/ferry_ctl/_bench_replicas.py
@@ -59,7 +59,7 @@
     think_s=2.0,
     reconnect_share=0.02,
 )
-LAGS = {"calm": 0.0, "lag_1s": 1.0, "far_30s": 30.0}
+APPLY_DELAYS_S = {"calm": 0.0, "lag_1s": 1.0, "far_30s": 30.0}
 
 
 @attrs.frozen
@@ -103,16 +103,16 @@
 
     def _ask(self) -> None:
         rng = self._lab.random
-        place = rng.choice(self._nodes)
+        target = rng.choice(self._nodes)
         if rng.random() < self._work.reconnect_share:
             self._session.forget()
         if rng.random() < self._work.order_share:
-            fut = self._session.write(place)
+            fut = self._session.write(target)
         elif rng.random() < self._work.own_share:
-            fut = self._session.read(place)
+            fut = self._session.read(target)
         else:
             other = rng.randrange(self._work.sessions)
-            fut = self._session.read(place, f"clerk-{other}")
+            fut = self._session.read(target, f"clerk-{other}")
         fut.add_done_callback(lambda _: self._think())
 
 
@@ -156,7 +156,7 @@
 ) -> _report.Figures:
     figures: _report.Figures = {}
     for work in (PLATES, BOOKINGS):
-        for lag, lag_s in LAGS.items():
+        for lag, lag_s in APPLY_DELAYS_S.items():
             found = run_workload(work, lag_s, policy, seed, catch_up_s)
             name = f"{work.name}_{lag}"
             figures[f"replica_read_share_{name}"] = found.share
--- a/packages/ctl/src/ferry_ctl/_bench_spread.py
+++ b/packages/ctl/src/ferry_ctl/_bench_spread.py
@@ -7,9 +7,9 @@
 
 from ferry_ctl import _report
 
-CALM_S = 7.0
+STEADY_S = 7.0
 CHANGES = 6
-CHANGE_EVERY_S = 2.0
+CHANGE_INTERVAL_S = 2.0
 OUTAGE_S = 20.0
 STEP_S = 0.02
 KEY = decisions.CONTRACT_PREFIX + "lone-star"
@@ -26,7 +26,7 @@
     return json.dumps(decisions.unstructure(contract)).encode()
 
 
-class _Watcher:
+class _Observer:
     """Sees when each node takes a version, and whether one goes back."""
 
     def __init__(self, swarm: standins.Swarm) -> None:
@@ -34,27 +34,29 @@
         self.versions = dict.fromkeys(swarm.nodes, 0)
         self.reverts = 0
         self.times: list[float] = []
-        self.made_at: dict[int, float] = {}
+        self.written_at: dict[int, float] = {}
         for name, node in swarm.nodes.items():
             node.directory.subscribe(
-                lambda entry, n=name: self._take(n, entry)  # type: ignore[misc]
+                lambda entry, n=name: self._on_entry(n, entry)  # type: ignore[misc]
             )
 
-    def _take(self, name: str, entry: decisions.StoreEntry) -> None:
+    def _on_entry(self, name: str, entry: decisions.StoreEntry) -> None:
         if entry.key != KEY:
             return
         version = int(json.loads(entry.value)["version"])
         if version < self.versions[name]:
             self.reverts += 1
         self.versions[name] = version
-        if version in self.made_at:
-            self.times.append(self.swarm.timers.now() - self.made_at[version])
+        if version in self.written_at:
+            self.times.append(
+                self.swarm.timers.now() - self.written_at[version]
+            )
 
     def change(self, version: int) -> None:
         """Writes a version as an operator does, through some node."""
         nodes = list(self.swarm.nodes.values())
         node = self.swarm.random.choice(nodes)
-        self.made_at[version] = self.swarm.timers.now()
+        self.written_at[version] = self.swarm.timers.now()
         condition = self.swarm.store.condition(KEY)
         node.store.put_if(KEY, _value(version), condition)
 
@@ -62,60 +64,60 @@
 def _run(size: int, seed: int) -> _report.Figures:
     plan = standins.SwarmPlan(nodes=size, spreads=True)
     swarm = standins.Swarm(plan, seed)
-    watcher = _Watcher(swarm)
-    swarm.timers.advance(CALM_S)
-    watcher.change(1)
-    swarm.timers.advance(CALM_S)
+    observer = _Observer(swarm)
+    swarm.timers.advance(STEADY_S)
+    observer.change(1)
+    swarm.timers.advance(STEADY_S)
     calls = swarm.store.calls
-    swarm.timers.advance(CALM_S)
-    calm = (swarm.store.calls - calls) / CALM_S
+    swarm.timers.advance(STEADY_S)
+    steady_calls_per_s = (swarm.store.calls - calls) / STEADY_S
     streams = sum(n.stream_bytes for n in swarm.nodes.values())
-    watcher.times.clear()
+    observer.times.clear()
     for version in range(2, CHANGES + 2):
-        watcher.change(version)
-        swarm.timers.advance(CHANGE_EVERY_S)
-    more = sum(n.stream_bytes for n in swarm.nodes.values()) - streams
-    seconds = CHANGES * CHANGE_EVERY_S
-    times = list(watcher.times)
+        observer.change(version)
+        swarm.timers.advance(CHANGE_INTERVAL_S)
+    stream_bytes = sum(n.stream_bytes for n in swarm.nodes.values()) - streams
+    seconds = CHANGES * CHANGE_INTERVAL_S
+    times = list(observer.times)
     missing = size * CHANGES - len(times)
     figures = {
         f"spread_median_s_{size}": _report.median(times),
         f"spread_p99_s_{size}": _report.percentile(times, 0.99),
         f"spread_worst_s_{size}": max(times, default=0.0),
         f"missed_{size}": missing,
-        f"reverts_{size}": watcher.reverts,
-        f"store_calls_per_s_{size}": calm,
-        f"stream_bytes_per_s_per_node_{size}": more / size / seconds,
+        f"reverts_{size}": observer.reverts,
+        f"store_calls_per_s_{size}": steady_calls_per_s,
+        f"stream_bytes_per_s_per_node_{size}": stream_bytes / size / seconds,
     }
-    figures.update(_outage(swarm, watcher, size))
+    figures.update(_outage(swarm, observer, size))
     return figures
 
 
 def _outage(
-    swarm: standins.Swarm, watcher: _Watcher, size: int
+    swarm: standins.Swarm, observer: _Observer, size: int
 ) -> _report.Figures:
     """The store goes away and comes back; a change waits for it."""
     swarm.store.down = True
     calls = swarm.store.calls
     swarm.timers.advance(OUTAGE_S)
-    during = (swarm.store.calls - calls) / OUTAGE_S
+    outage_calls_per_s = (swarm.store.calls - calls) / OUTAGE_S
     swarm.store.down = False
-    last = CHANGES + 2
-    watcher.change(last)
+    last_version = CHANGES + 2
+    observer.change(last_version)
     begun = swarm.timers.now()
-    busiest = 0
-    done_after = 0.0
+    peak_calls = 0
+    applied_after_s = 0.0
     while swarm.timers.now() - begun < 60.0:
         calls = swarm.store.calls
         swarm.timers.advance(1.0)
-        busiest = max(busiest, swarm.store.calls - calls)
-        if all(v == last for v in watcher.versions.values()):
-            done_after = swarm.timers.now() - begun
+        peak_calls = max(peak_calls, swarm.store.calls - calls)
+        if all(v == last_version for v in observer.versions.values()):
+            applied_after_s = swarm.timers.now() - begun
             break
     return {
-        f"store_calls_per_s_in_outage_{size}": during,
-        f"store_calls_busiest_s_after_{size}": busiest,
-        f"in_force_after_outage_s_{size}": done_after,
+        f"store_calls_per_s_in_outage_{size}": outage_calls_per_s,
+        f"store_calls_busiest_s_after_{size}": peak_calls,
+        f"in_force_after_outage_s_{size}": applied_after_s,
     }
 
 
--- a/packages/ctl/src/ferry_ctl/_contracts.py
+++ b/packages/ctl/src/ferry_ctl/_contracts.py
@@ -26,12 +26,12 @@
 @_api.api_options
 def list_contracts(url: str, token: str, operator: str) -> None:
     """Lists the contracts in force."""
-    found = _api.Api(url, token, operator).call("GET", "/v1/contracts").body
+    contracts = _api.Api(url, token, operator).call("GET", "/v1/contracts").body
     click.echo(f"{'CUSTOMER':24} {'VERSION':>7} {'SHARE':>5}  DATABASES")
-    for each in found:
+    for row in contracts:
         click.echo(
-            f"{each['customer']:24} {each['version']:>7} {each['share']:>5}  "
-            f"{','.join(each['databases'])}"
+            f"{row['customer']:24} {row['version']:>7} {row['share']:>5}  "
+            f"{','.join(row['databases'])}"
         )
 
 
--- a/packages/ctl/src/ferry_ctl/_demo.py
+++ b/packages/ctl/src/ferry_ctl/_demo.py
@@ -14,13 +14,13 @@
 
 from ferry_ctl import _standins
 
-CLERKS = {"lone-star": 20, "blue-mountain": 5}
+CLERKS_PER_CUSTOMER = {"lone-star": 20, "blue-mountain": 5}
 RUN_S = 9.0
 FAULT_AT_S = 4.0
 STARTUP_S = 10.0
 ORDER_SHARE = 0.1
-LAG_S = 0.02
-PAUSE_S = 0.004
+REPLICATION_DELAY_S = 0.02
+REQUEST_INTERVAL_S = 0.004
 
 
 class DemoFailedError(click.ClickException):
@@ -47,7 +47,7 @@
     unknown: int = 0
     violations: int = 0
     acknowledged: set[int] = attrs.field(factory=set)
-    unsure: set[int] = attrs.field(factory=set)
+    unknown_orders: set[int] = attrs.field(factory=set)
     not_run: set[int] = attrs.field(factory=set)
     ack_times: list[float] = attrs.field(factory=list)
     lock: threading.Lock = attrs.field(factory=threading.Lock)
@@ -70,8 +70,8 @@
         self._random = random.Random(f"{customer}-{number}")
         self._conns: dict[str, psycopg.Connection[tuple[int]]] = {}
         self._token = ""
-        self._own: set[int] = set()
-        self._next = 0
+        self._own_orders: set[int] = set()
+        self._order_count = 0
 
     def work(self, end: float) -> None:
         """Works until a moment, in seconds of the monotonic clock."""
@@ -81,7 +81,7 @@
                 self._order(node)
             else:
                 self._read(node)
-            time.sleep(PAUSE_S)
+            time.sleep(REQUEST_INTERVAL_S)
 
     def close(self) -> None:
         """Closes all connections."""
@@ -106,8 +106,8 @@
             self._token = status.decode()
 
     def _order(self, node: str) -> None:
-        self._next += 1
-        serial = self._number * 1_000_000 + self._next
+        self._order_count += 1
+        serial = self._number * 1_000_000 + self._order_count
         try:
             conn = self._conn(node)
             conn.execute(
@@ -118,7 +118,7 @@
             self._note_failure(exc, serial)
             return
         self._keep_token(conn)
-        self._own.add(serial)
+        self._own_orders.add(serial)
         with self._tally.lock:
             self._tally.statements += 1
             self._tally.acknowledged.add(serial)
@@ -138,7 +138,7 @@
         seen = {row[0] for row in rows}
         with self._tally.lock:
             self._tally.statements += 1
-            if not self._own <= seen:
+            if not self._own_orders <= seen:
                 self._tally.violations += 1
 
     def _note_failure(self, exc: psycopg.Error, serial: int | None) -> None:
@@ -151,7 +151,7 @@
             else:
                 self._tally.unknown += 1
                 if serial is not None:
-                    self._tally.unsure.add(serial)
+                    self._tally.unknown_orders.add(serial)
 
 
 def start_fleet() -> standins.Fleet:
@@ -212,11 +212,11 @@
     clerks = [
         Clerk(fleet, customer, number + offset, tally)
         for offset, (customer, count) in zip(
-            (1, 101), CLERKS.items(), strict=True
+            (1, 101), CLERKS_PER_CUSTOMER.items(), strict=True
         )
         for number in range(count)
     ]
-    fleet.groups["plates"].faults.delay_s = LAG_S
+    fleet.groups["plates"].faults.delay_s = REPLICATION_DELAY_S
     end = time.monotonic() + RUN_S
     with concurrent.futures.ThreadPoolExecutor(len(clerks)) as pool:
         futs = [pool.submit(clerk.work, end) for clerk in clerks]
@@ -251,8 +251,8 @@
     old: str,
 ) -> None:
     lost = tally.acknowledged - set(stored)
-    doubled = len(stored) - len(set(stored))
-    untrue = tally.not_run & set(stored)
+    duplicated = len(stored) - len(set(stored))
+    executed_refusals = tally.not_run & set(stored)
     before = max((t for t in tally.ack_times if t <= fault_at), default=0.0)
     after = min((t for t in tally.ack_times if t > fault_at + 0.5), default=0)
     by_replicas = sum(
@@ -267,8 +267,8 @@
         ("orders acknowledged", f"{len(tally.acknowledged)}"),
         ("replica share of reads", f"{share:.1%}"),
         ("consistency violations", f"{tally.violations}"),
-        ("orders lost or doubled", f"{len(lost) + doubled}"),
-        ("'not run' that ran", f"{len(untrue)}"),
+        ("orders lost or doubled", f"{len(lost) + duplicated}"),
+        ("'not run' that ran", f"{len(executed_refusals)}"),
         ("told not run", f"{tally.refused}"),
         ("told unknown", f"{tally.unknown}"),
         ("old and new primary", f"{old} -> {fleet.primary('plates').name}"),
@@ -276,5 +276,5 @@
     ]
     for name, value in lines:
         click.echo(f"{name:26} {value}")
-    if tally.violations or lost or doubled or untrue or not after:
+    if tally.violations or lost or duplicated or executed_refusals or not after:
         sys.exit(1)
--- a/packages/ctl/src/ferry_ctl/_explain.py
+++ b/packages/ctl/src/ferry_ctl/_explain.py
@@ -12,10 +12,12 @@
 import attrs
 import click
 
-REQUESTS = frozenset({"RequestDone", "RequestServed"})  # At entry, served.
-LEFT_OUT = "LinesLeftOut"
-BEFORE_S = 2.0  # How long before a request its surroundings are shown.
-SURROUNDINGS = frozenset(
+REQUEST_EVENTS = frozenset(
+    {"RequestDone", "RequestServed"}
+)  # At entry, served.
+OMITTED_LINES_EVENT = "LinesLeftOut"
+CONTEXT_BEFORE_S = 2.0  # How long before a request its surroundings are shown.
+CONTEXT_EVENTS = frozenset(
     {
         "LeaderFound",
         "LeaderLost",
@@ -31,7 +33,7 @@
         "Ready",
     }
 )
-OWN_FIELDS = frozenset({"at", "node", "event"})
+HEADER_FIELDS = frozenset({"at", "node", "event"})
 
 
 @attrs.frozen(slots=True)
@@ -50,7 +52,7 @@
     event: str
     fields: dict[str, typing.Any]
 
-    def shown(self, origin: float) -> str:
+    def format(self, origin: float) -> str:
         """Returns it for a reader, with the time since `origin`."""
         words = " ".join(f"{k}={v}" for k, v in self.fields.items())
         offset = self.at - origin
@@ -64,7 +66,7 @@
         return None
     try:
         raw = json.loads(text[start:])
-        fields = {k: v for k, v in raw.items() if k not in OWN_FIELDS}
+        fields = {k: v for k, v in raw.items() if k not in HEADER_FIELDS}
         return Line(float(raw["at"]), raw["node"], raw["event"], fields)
     except (ValueError, KeyError, TypeError):
         return None
@@ -79,44 +81,44 @@
     return sorted(lines, key=lambda line: line.at)
 
 
-def story(lines: list[Line], name: str) -> Iterator[str]:
+def timeline(lines: list[Line], name: str) -> Iterator[str]:
     """Yields what the lines tell of a request's id or a service."""
     requests = [
         x
         for x in lines
-        if x.event in REQUESTS and x.fields.get("request") == name
+        if x.event in REQUEST_EVENTS and x.fields.get("request") == name
     ]
     if requests:
-        yield from _request_story(lines, requests)
+        yield from _request_timeline(lines, requests)
         return
     changes = [x for x in lines if x.fields.get("service") == name]
     if changes:
-        yield from (x.shown(changes[0].at) for x in changes)
+        yield from (x.format(changes[0].at) for x in changes)
         return
     yield f"no line names {name}"
-    yield from _missing(lines)
+    yield from _omitted_lines(lines)
 
 
-def _request_story(lines: list[Line], requests: list[Line]) -> Iterator[str]:
+def _request_timeline(lines: list[Line], requests: list[Line]) -> Iterator[str]:
     origin = requests[0].at
-    first = origin - float(requests[0].fields["elapsed_s"]) - BEFORE_S
+    first = origin - float(requests[0].fields["elapsed_s"]) - CONTEXT_BEFORE_S
     nodes = {x.node for x in requests}
     member = requests[0].fields["member"] or requests[0].fields["detail"]
     for line in lines:
         if not first <= line.at <= requests[-1].at:
             continue
-        about = line.node in nodes or member in line.fields.values()
-        if line in requests or (line.event in SURROUNDINGS and about):
-            yield line.shown(origin)
-    yield from _missing([x for x in lines if x.node in nodes])
+        is_related = line.node in nodes or member in line.fields.values()
+        if line in requests or (line.event in CONTEXT_EVENTS and is_related):
+            yield line.format(origin)
+    yield from _omitted_lines([x for x in lines if x.node in nodes])
 
 
-def _missing(lines: list[Line]) -> Iterator[str]:
+def _omitted_lines(lines: list[Line]) -> Iterator[str]:
     """Says how many lines the nodes left out."""
-    left = [x.fields for x in lines if x.event == LEFT_OUT]
-    if left:
+    omitted = [x.fields for x in lines if x.event == OMITTED_LINES_EVENT]
+    if omitted:
         kinds = ("requests", "failures", "blocked")
-        sums = {k: sum(f.get(k, 0) for f in left) for k in kinds}
+        sums = {k: sum(f.get(k, 0) for f in omitted) for k in kinds}
         words = ", ".join(f"{v} {k}" for k, v in sums.items())
         yield f"lines left out by these nodes: {words}"
 
@@ -129,5 +131,5 @@
 
     FILES are the nodes' logs, in any order.
     """
-    for line in story(read(files), name):
+    for line in timeline(read(files), name):
         click.echo(line)
--- a/packages/ctl/src/ferry_ctl/_losses.py
+++ b/packages/ctl/src/ferry_ctl/_losses.py
@@ -14,9 +14,11 @@
 from ferry_ctl import _explain
 
 RAN = "ran"
-DONE = "RequestDone"  # At the entry: one line a request.
+DONE_EVENT = "RequestDone"  # At the entry: one line a request.
 BAR_WIDTH = 40  # Characters of the longest bar.
-CHANGES = frozenset({"PromotionStep", "Ready", "DependencyLost", "NodeStarted"})
+STATE_CHANGE_EVENTS = frozenset(
+    {"PromotionStep", "Ready", "DependencyLost", "NodeStarted"}
+)
 
 
 @attrs.define
@@ -42,17 +44,17 @@
         """Requests that did not run."""
         return sum(self.reasons.values())
 
-    def take(self, line: _explain.Line) -> None:
+    def add(self, line: _explain.Line) -> None:
         """Takes a line of the window in."""
-        if line.event == DONE:
+        if line.event == DONE_EVENT:
             outcome = str(line.fields["outcome"])
             if outcome == RAN:
                 self.ran += 1
             else:
                 self.reasons[outcome] += 1
-        elif line.event == _explain.LEFT_OUT:
+        elif line.event == _explain.OMITTED_LINES_EVENT:
             self.left_out += sum(int(v) for v in line.fields.values())
-        elif line.event in CHANGES:
+        elif line.event in STATE_CHANGE_EVENTS:
             self.changes[line.event] += 1
 
 
@@ -67,27 +69,29 @@
     for line in lines:
         number = int((line.at - lines[0].at) / step_s)
         window = found.setdefault(number, Window(number * step_s))
-        window.take(line)
+        window.add(line)
     return [found[n] for n in sorted(found)]
 
 
 def report(found: list[Window]) -> Iterator[str]:
     """Yields a table with a bar for what was lost in each window."""
-    most = max((w.lost for w in found), default=0)
+    max_lost = max((w.lost for w in found), default=0)
     yield f"{'from s':>7} {'ran':>5} {'lost':>5} {'left out':>8}"
     for window in found:
-        bar = "#" * round(BAR_WIDTH * window.lost / most) if most else ""
+        bar = (
+            "#" * round(BAR_WIDTH * window.lost / max_lost) if max_lost else ""
+        )
         words = [f"{k}={v}" for k, v in window.reasons.most_common()]
         words += [f"[{k} {v}]" for k, v in sorted(window.changes.items())]
         counts = f"{window.ran:5} {window.lost:5} {window.left_out:8}"
         yield f"{window.at:7.1f} {counts} {bar} {' '.join(words)}".rstrip()
 
 
-def places(lines: list[_explain.Line]) -> Iterator[str]:
+def losses_by_node(lines: list[_explain.Line]) -> Iterator[str]:
     """Yields how much was lost at each node, by reason and kind."""
     sums: collections.Counter[tuple[str, str, str]] = collections.Counter()
     for line in lines:
-        if line.event == DONE and line.fields["outcome"] != RAN:
+        if line.event == DONE_EVENT and line.fields["outcome"] != RAN:
             outcome, kind = line.fields["outcome"], line.fields["kind"]
             sums[(line.node, str(outcome), str(kind))] += 1
     for (node, outcome, kind), count in sums.most_common():
@@ -113,5 +117,5 @@
     lines = [x for x in lines if since <= x.at - origin < until]
     if not lines:
         raise click.ClickException("no line of these logs is in that time")
-    for text in (*report(windows(lines, step)), "", *places(lines)):
+    for text in (*report(windows(lines, step)), "", *losses_by_node(lines)):
         click.echo(text)
--- a/packages/ctl/src/ferry_ctl/_report.py
+++ b/packages/ctl/src/ferry_ctl/_report.py
@@ -6,7 +6,7 @@
 import click
 
 Figures = dict[str, float]
-DIGITS = 6
+SIGNIFICANT_DIGITS = 6
 
 
 @attrs.frozen
@@ -27,16 +27,16 @@
 
     def to_json(self) -> str:
         """Returns the object as one line."""
-        shown = attrs.asdict(self)
-        shown["figures"] = _rounded(self.figures)
-        shown["baselines"] = {
+        fields = attrs.asdict(self)
+        fields["figures"] = _rounded(self.figures)
+        fields["baselines"] = {
             name: _rounded(f) for name, f in self.baselines.items()
         }
-        return json.dumps(shown)
+        return json.dumps(fields)
 
 
 def _rounded(figures: Figures) -> Figures:
-    return {n: float(f"{v:.{DIGITS}g}") for n, v in figures.items()}
+    return {n: float(f"{v:.{SIGNIFICANT_DIGITS}g}") for n, v in figures.items()}
 
 
 def show(report: Report, as_json: bool) -> None:
--- a/packages/ctl/src/ferry_ctl/_standins.py
+++ b/packages/ctl/src/ferry_ctl/_standins.py
@@ -32,7 +32,7 @@
     fleet: standins.Fleet, name: str, centre: str, ports: list[int]
 ) -> str:
     callers, peers, probes, admin = ports
-    shown = {
+    settings = {
         "node": name,
         "data_centre": centre,
         "host": "127.0.0.1",
@@ -45,7 +45,7 @@
         "callers": {"host": "127.0.0.1", "port": callers},
     }
     return f"// Settings of {name}, on stand-ins.\n" + json.dumps(
-        shown, indent=2
+        settings, indent=2
     )
 
 
@@ -68,7 +68,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     for centre in fleet.plan.data_centres:
         for index in range(nodes):
-            _describe_node(fleet, folder, f"{centre}-{index + 1}", centre)
+            _write_node(fleet, folder, f"{centre}-{index + 1}", centre)
     for member in fleet.members["plates"].values():
         click.echo(f"{member.name}: 127.0.0.1:{member.port}")
     (folder / "ready").write_text("ready\n")
@@ -79,7 +79,7 @@
     fleet.close()
 
 
-def _describe_node(
+def _write_node(
     fleet: standins.Fleet, folder: pathlib.Path, name: str, centre: str
 ) -> None:
     """Writes a node's settings and lists its VM."""
--- a/packages/ctl/src/ferry_ctl/route_book.py
+++ b/packages/ctl/src/ferry_ctl/route_book.py
@@ -13,12 +13,12 @@
 import attrs
 import ferry_proxy as proxy
 
-Book = proxy.ConfigurationDraft
-SIMILAR = 3  # Names that are shown where one is not found.
+Draft = proxy.ConfigurationDraft
+MAX_SIMILAR_NAMES = 3  # Names that are shown where one is not found.
 
 
 @attrs.frozen(slots=True)
-class Terms:
+class RouteTerms:
     """All that a route says but for its names: routes alike share them."""
 
     service: str
@@ -29,7 +29,7 @@
     max_staleness_s: float
 
     @classmethod
-    def of(cls, route: proxy.Route) -> "Terms":
+    def of(cls, route: proxy.Route) -> "RouteTerms":
         """Returns the terms of a route."""
         return cls(
             route.service,
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen(slots=True)
-class Fold:
+class RouteGroup:
     """Routes that differ in their names alone.
 
     Attributes:
@@ -50,12 +50,12 @@
         databases: Their databases, in the document's order.
     """
 
-    terms: Terms
+    terms: RouteTerms
     databases: tuple[str, ...]
 
 
 @attrs.frozen(slots=True)
-class Choice:
+class RouteChoice:
     """The route that a database gets.
 
     Attributes:
@@ -102,34 +102,34 @@
         )
 
 
-def fold(routes: tuple[proxy.Route, ...]) -> list[Fold]:
+def group_routes(routes: tuple[proxy.Route, ...]) -> list[RouteGroup]:
     """Returns routes by their terms, the largest folds first."""
-    found: dict[Terms, list[str]] = {}
+    found: dict[RouteTerms, list[str]] = {}
     for route in routes:
-        found.setdefault(Terms.of(route), []).append(route.database)
-    folds = [Fold(terms, tuple(names)) for terms, names in found.items()]
-    return sorted(folds, key=lambda f: -len(f.databases))
+        found.setdefault(RouteTerms.of(route), []).append(route.database)
+    groups = [RouteGroup(terms, tuple(names)) for terms, names in found.items()]
+    return sorted(groups, key=lambda f: -len(f.databases))
 
 
-def choose(book: Book, database: str) -> Choice:
+def find_route(draft: Draft, database: str) -> RouteChoice:
     """Returns the route that callers of a database get, and why."""
-    fitting = [r for r in book.routes if r.database == database]
-    if not fitting:
-        names = sorted({r.database for r in book.routes})
-        close = difflib.get_close_matches(database, names, SIMILAR)
-        return Choice(None, similar=tuple(close))
-    *passed_over, route = fitting
-    services = {s.name: s for s in book.services}
-    return Choice(route, tuple(passed_over), services.get(route.service))
+    matching = [r for r in draft.routes if r.database == database]
+    if not matching:
+        names = sorted({r.database for r in draft.routes})
+        similar = difflib.get_close_matches(database, names, MAX_SIMILAR_NAMES)
+        return RouteChoice(None, similar=tuple(similar))
+    *passed_over, route = matching
+    services = {s.name: s for s in draft.services}
+    return RouteChoice(route, tuple(passed_over), services.get(route.service))
 
 
-def problems(book: Book) -> Iterator[str]:
+def problems(draft: Draft) -> Iterator[str]:
     """Yields everything that is wrong, or likely to be, each with its place."""
-    yield from book.mistakes
-    services = {s.name for s in book.services}
-    counts = collections.Counter(r.database for r in book.routes)
-    names = collections.Counter(r.name for r in book.routes)
-    for number, route in enumerate(book.routes):
+    yield from draft.mistakes
+    services = {s.name for s in draft.services}
+    counts = collections.Counter(r.database for r in draft.routes)
+    names = collections.Counter(r.name for r in draft.routes)
+    for number, route in enumerate(draft.routes):
         place = f"route {number} ({route.name}, database {route.database})"
         if route.service not in services:
             yield f"{place}: no service is named {route.service!r}"
@@ -137,14 +137,14 @@
             yield f"{place}: one of {counts[route.database]} for its database"
         if names[route.name] > 1:
             yield f"{place}: one of {names[route.name]} of its name"
-        yield from (f"{place}: {words}" for words in _limits(route))
-    used = {r.service for r in book.routes}
-    for service in book.services:
+        yield from (f"{place}: {words}" for words in _time_problems(route))
+    used = {r.service for r in draft.routes}
+    for service in draft.services:
         if service.name not in used:
             yield f"service {service.name}: no route leads to it"
 
 
-def _limits(route: proxy.Route) -> Iterator[str]:
+def _time_problems(route: proxy.Route) -> Iterator[str]:
     """Yields what is wrong with a route's times."""
     if route.timeout_s <= 0:
         yield "its time limit is zero: every statement fails"
@@ -158,7 +158,7 @@
         yield "no replica is ever fresh enough: its staleness is zero"
 
 
-def changes(before: Book, after: Book) -> list[Change]:
+def changes(before: Draft, after: Draft) -> list[Change]:
     """Returns what a new configuration changes, by database."""
     old = {r.database: r for r in before.routes}
     new = {r.database: r for r in after.routes}
--- a/packages/ctl/src/ferry_ctl/routes.py
+++ b/packages/ctl/src/ferry_ctl/routes.py
@@ -17,9 +17,9 @@
 
 from ferry_ctl import route_book
 
-Reader = Callable[[bytes], route_book.Book]
-FOUND = 1  # Exit code: something is missing, wrong or different.
-SHOWN_NAMES = 3  # Databases of a fold that its line names.
+Reader = Callable[[bytes], route_book.Draft]
+EXIT_FINDINGS = 1  # Exit code: something is missing, wrong or different.
+MAX_NAMES_SHOWN = 3  # Databases of a fold that its line names.
 MS_PER_S = 1000.0
 
 _DOCUMENT = click.Path(exists=True, dir_okay=False)
@@ -48,16 +48,16 @@
         file: str, database: str, service: str, kind: str, as_json: bool
     ) -> None:
         """Lists routes; those that differ in a name alone are one line."""
-        book = _load(read, file)
+        draft = _load(read, file)
         chosen = tuple(
             r
-            for r in book.routes
+            for r in draft.routes
             if database in r.database
             and service in ("", r.service)
             and kind in ("", r.consistency.value)
         )
-        folds = route_book.fold(chosen)
-        _show([attrs.asdict(f) for f in folds], _table(folds), as_json)
+        groups = route_book.group_routes(chosen)
+        _show([attrs.asdict(f) for f in groups], _table(groups), as_json)
 
     @routes.command()
     @click.argument("file", type=_DOCUMENT)
@@ -65,10 +65,10 @@
     @_as_json
     def which(file: str, database: str, as_json: bool) -> None:
         """Tells which route the callers of a database get, and why."""
-        book = _load(read, file)
-        choice = route_book.choose(book, database)
-        _show(_plain(choice), _explained(book, database, choice), as_json)
-        _end(choice.route is None)
+        draft = _load(read, file)
+        choice = route_book.find_route(draft, database)
+        _show(_to_json(choice), _explanation(draft, database, choice), as_json)
+        _exit_on(choice.route is None)
 
     @routes.command()
     @click.argument("file", type=_DOCUMENT)
@@ -77,7 +77,7 @@
         """Names everything that is wrong, each with its place."""
         found = list(route_book.problems(_load(read, file)))
         _show(found, iter(found or ["nothing is wrong"]), as_json)
-        _end(bool(found))
+        _exit_on(bool(found))
 
     @routes.command()
     @click.argument("before", type=_DOCUMENT)
@@ -86,14 +86,14 @@
     def diff(before: str, after: str, as_json: bool) -> None:
         """Tells which databases get another route, and what differs."""
         found = route_book.changes(_load(read, before), _load(read, after))
-        rows = [{"kind": c.kind, **_plain(c)} for c in found]
+        rows = [{"kind": c.kind, **_to_json(c)} for c in found]
         _show(rows, _differences(found), as_json)
-        _end(bool(found))
+        _exit_on(bool(found))
 
     return routes
 
 
-def _load(read: Reader, path: str) -> route_book.Book:
+def _load(read: Reader, path: str) -> route_book.Draft:
     try:
         return read(pathlib.Path(path).read_bytes())
     except proxy.InvalidItemError as exc:
@@ -108,12 +108,12 @@
         click.echo(line)
 
 
-def _end(found: bool) -> None:
+def _exit_on(found: bool) -> None:
     if found:
-        raise SystemExit(FOUND)
+        raise SystemExit(EXIT_FINDINGS)
 
 
-def _plain(value: attrs.AttrsInstance) -> dict[str, typing.Any]:
+def _to_json(value: attrs.AttrsInstance) -> dict[str, typing.Any]:
     """Returns a value for JSON; a consistency is its word."""
 
     def serialize(_: object, __: object, field: typing.Any) -> typing.Any:
@@ -124,15 +124,15 @@
     return attrs.asdict(value, value_serializer=serialize)
 
 
-def _table(folds: list[route_book.Fold]) -> Iterator[str]:
+def _table(groups: list[route_book.RouteGroup]) -> Iterator[str]:
     yield (
         f"{'routes':>6} {'service':<20} {'kind':<8} {'prio':>4} "
         f"{'limit ms':>8} {'target ms':>9} {'stale ms':>8}  databases"
     )
-    for found in folds:
+    for found in groups:
         terms = found.terms
-        names = ", ".join(found.databases[:SHOWN_NAMES])
-        more = len(found.databases) - SHOWN_NAMES
+        names = ", ".join(found.databases[:MAX_NAMES_SHOWN])
+        more = len(found.databases) - MAX_NAMES_SHOWN
         yield (
             f"{len(found.databases):6} {terms.service:<20} "
             f"{terms.consistency:<8} {terms.priority:4} "
@@ -143,16 +143,16 @@
         )
 
 
-def _explained(
-    book: route_book.Book, database: str, choice: route_book.Choice
+def _explanation(
+    draft: route_book.Draft, database: str, choice: route_book.RouteChoice
 ) -> Iterator[str]:
     route = choice.route
     if route is None:
-        yield f"no route for {database} in version {book.version}"
+        yield f"no route for {database} in version {draft.version}"
         if choice.similar:
             yield f"similar: {', '.join(choice.similar)}"
         return
-    yield f"{database} takes route {route.name}, version {book.version}"
+    yield f"{database} takes route {route.name}, version {draft.version}"
     yield f"service {route.service}, reads {route.consistency.value}"
     yield (
         f"a statement may take {route.timeout_s:g} s, an operation aims at "
@@ -178,11 +178,13 @@
         details = []
         for name in change.fields:
             old, new = getattr(change.before, name), getattr(change.after, name)
-            details.append(f"{name} {_word(old)} -> {_word(new)}")
+            details.append(
+                f"{name} {_format_value(old)} -> {_format_value(new)}"
+            )
         yield f"{change.kind:<8} {route.database} {', '.join(details)}".rstrip()
     if not found:
         yield "the same routes"
 
 
-def _word(value: object) -> str:
+def _format_value(value: object) -> str:
     return value.value if isinstance(value, proxy.Consistency) else str(value)
--- a/packages/ctl/src/ferry_ctl/tests/test_explain.py
+++ b/packages/ctl/src/ferry_ctl/tests/test_explain.py
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "told", "untold"),
+    ("name", "expected", "unexpected"),
     [
         ("r1", ["LeaderLost", "claimed", "no_primary", "4 requests"], ["m9"]),
         ("r1", ["RequestServed", "entry=n1", "DependencyLost"], []),
@@ -55,10 +55,10 @@
         ("nobody", ["no line names nobody", "1 failures"], ["claimed"]),
     ],
 )
-def test_stories(files, name, told, untold):
+def test_timelines(files, name, expected, unexpected):
     run = click.testing.CliRunner().invoke(_explain.explain, [name, *files])
     assert run.exit_code == 0
-    for words in told:
+    for words in expected:
         assert words in run.output
-    for words in untold:
+    for words in unexpected:
         assert words not in run.output
--- a/packages/ctl/src/ferry_ctl/tests/test_losses.py
+++ b/packages/ctl/src/ferry_ctl/tests/test_losses.py
@@ -50,8 +50,8 @@
     assert "no_primary=2 overloaded=1" in rows[2]
 
 
-def test_places_by_count(log):
-    rows = list(_losses.places(_explain.read((log,))))
+def test_losses_by_node(log):
+    rows = list(_losses.losses_by_node(_explain.read((log,))))
     assert sorted(row.split() for row in rows) == [
         ["2", "n1", "overloaded", "read"],
         ["2", "n2", "no_primary", "write"],
--- a/packages/ctl/src/ferry_ctl/tests/test_routes.py
+++ b/packages/ctl/src/ferry_ctl/tests/test_routes.py
@@ -18,13 +18,13 @@
     "r-lookup", "lookup", "registry", BOUNDED, 3.0, 0.8, 2, 1.5
 )
 REGISTRY = proxy.Service("registry", 117, 1)
-BOOK = route_book.Book(7, (ORDERS, LOOKUP), (REGISTRY,), 3.0)
+DRAFT = route_book.Draft(7, (ORDERS, LOOKUP), (REGISTRY,), 3.0)
 MANY = 10_000
 
 
-def more(*extra: proxy.Route, **changed) -> route_book.Book:
-    book = attrs.evolve(BOOK, routes=(*BOOK.routes, *extra))
-    return attrs.evolve(book, **changed)
+def more(*extra: proxy.Route, **changed) -> route_book.Draft:
+    draft = attrs.evolve(DRAFT, routes=(*DRAFT.routes, *extra))
+    return attrs.evolve(draft, **changed)
 
 
 def like(route: proxy.Route, **changed) -> proxy.Route:
@@ -33,9 +33,9 @@
 
 
 @pytest.mark.parametrize(
-    ("book", "expected"),
+    ("draft", "expected"),
     [
-        (BOOK, []),
+        (DRAFT, []),
         (more(like(ORDERS, service="gone")), ["no service is named 'gone'"]),
         (
             more(like(ORDERS, database="orders")),
@@ -52,39 +52,39 @@
         (more(mistakes=("route 3: type is 'x'",)), ["route 3: type is 'x'"]),
     ],
 )
-def test_a_check_names_each_mistake(book, expected):
-    found = list(route_book.problems(book))
+def test_a_check_names_each_mistake(draft, expected):
+    found = list(route_book.problems(draft))
     assert len(found) == len(expected)
     assert all(e in f for e, f in zip(expected, found, strict=True))
 
 
 def test_routes_that_differ_in_a_name_alone_are_folded():
     extra = [like(LOOKUP, database=f"d{n}") for n in range(1400)]
-    folds = route_book.fold((*BOOK.routes, *extra))
-    assert [len(f.databases) for f in folds] == [1401, 1]
-    assert folds[0].databases[:2] == ("lookup", "d0")
+    groups = route_book.group_routes((*DRAFT.routes, *extra))
+    assert [len(f.databases) for f in groups] == [1401, 1]
+    assert groups[0].databases[:2] == ("lookup", "d0")
 
 
 def test_of_several_routes_for_a_database_the_last_counts():
     later = like(LOOKUP, database="orders")
-    choice = route_book.choose(more(later), "orders")
-    assert choice == route_book.Choice(later, (ORDERS,), REGISTRY)
+    choice = route_book.find_route(more(later), "orders")
+    assert choice == route_book.RouteChoice(later, (ORDERS,), REGISTRY)
 
 
 @pytest.mark.parametrize(
     ("database", "similar"), [("ordres", ("orders",)), ("zzz", ())]
 )
 def test_a_database_without_a_route_shows_similar_ones(database, similar):
-    choice = route_book.choose(BOOK, database)
-    assert choice == route_book.Choice(None, similar=similar)
+    choice = route_book.find_route(DRAFT, database)
+    assert choice == route_book.RouteChoice(None, similar=similar)
 
 
 def test_a_new_configuration_is_compared_by_database():
     after = attrs.evolve(
-        BOOK,
+        DRAFT,
         routes=(attrs.evolve(ORDERS, timeout_s=2.0), like(ORDERS)),
     )
-    found = route_book.changes(BOOK, after)
+    found = route_book.changes(DRAFT, after)
     routes_of = [c.after or c.before for c in found]
     told = [
         (c.kind, r.database if r else "", c.fields)
@@ -95,10 +95,10 @@
         ("altered", "orders", ("timeout_s",)),
         ("gained", "other", ()),
     ]
-    assert route_book.changes(BOOK, BOOK) == []
+    assert route_book.changes(DRAFT, DRAFT) == []
 
 
-def read(value: bytes) -> route_book.Book:
+def read(value: bytes) -> route_book.Draft:
     """Reads a document of the test's own: how many lookups, and a version."""
     try:
         raw = json.loads(value)
