--- a/packages/ctl/src/ferry_ctl/routes.py
+++ b/packages/ctl/src/ferry_ctl/routes.py
@@ -15,9 +15,9 @@
 import click
 import ferry_proxy as proxy
 
-from ferry_ctl import route_book
+from ferry_ctl import route_analysis
 
-Reader = Callable[[bytes], route_book.Draft]
+Reader = Callable[[bytes], route_analysis.Draft]
 EXIT_FINDINGS = 1  # Exit code: something is missing, wrong or different.
 MAX_NAMES_SHOWN = 3  # Databases of a fold that its line names.
 MS_PER_S = 1000.0
@@ -56,7 +56,7 @@
             and service in ("", r.service)
             and kind in ("", r.consistency.value)
         )
-        groups = route_book.group_routes(chosen)
+        groups = route_analysis.group_routes(chosen)
         _show([attrs.asdict(f) for f in groups], _table(groups), as_json)
 
     @routes.command()
@@ -66,7 +66,7 @@
     def which(file: str, database: str, as_json: bool) -> None:
         """Tells which route the callers of a database get, and why."""
         draft = _load(read, file)
-        choice = route_book.find_route(draft, database)
+        choice = route_analysis.find_route(draft, database)
         _show(_to_json(choice), _explanation(draft, database, choice), as_json)
         _exit_on(choice.route is None)
 
@@ -75,7 +75,7 @@
     @_as_json
     def check(file: str, as_json: bool) -> None:
         """Names everything that is wrong, each with its place."""
-        found = list(route_book.problems(_load(read, file)))
+        found = list(route_analysis.problems(_load(read, file)))
         _show(found, iter(found or ["nothing is wrong"]), as_json)
         _exit_on(bool(found))
 
@@ -85,7 +85,7 @@
     @_as_json
     def diff(before: str, after: str, as_json: bool) -> None:
         """Tells which databases get another route, and what differs."""
-        found = route_book.changes(_load(read, before), _load(read, after))
+        found = route_analysis.changes(_load(read, before), _load(read, after))
         rows = [{"kind": c.kind, **_to_json(c)} for c in found]
         _show(rows, _differences(found), as_json)
         _exit_on(bool(found))
@@ -93,7 +93,7 @@
     return routes
 
 
-def _load(read: Reader, path: str) -> route_book.Draft:
+def _load(read: Reader, path: str) -> route_analysis.Draft:
     try:
         return read(pathlib.Path(path).read_bytes())
     except proxy.InvalidItemError as exc:
@@ -124,7 +124,7 @@
     return attrs.asdict(value, value_serializer=serialize)
 
 
-def _table(groups: list[route_book.RouteGroup]) -> Iterator[str]:
+def _table(groups: list[route_analysis.RouteGroup]) -> Iterator[str]:
     yield (
         f"{'routes':>6} {'service':<20} {'kind':<8} {'prio':>4} "
         f"{'limit ms':>8} {'target ms':>9} {'stale ms':>8}  databases"
@@ -144,7 +144,9 @@
 
 
 def _explanation(
-    draft: route_book.Draft, database: str, choice: route_book.RouteChoice
+    draft: route_analysis.Draft,
+    database: str,
+    choice: route_analysis.RouteChoice,
 ) -> Iterator[str]:
     route = choice.route
     if route is None:
@@ -171,7 +173,7 @@
         yield f"passed over: route {other.name}, an earlier one in the document"
 
 
-def _differences(found: list[route_book.Change]) -> Iterator[str]:
+def _differences(found: list[route_analysis.Change]) -> Iterator[str]:
     for change in found:
         route = change.after or change.before
         assert route is not None
