--- a/packages/ctl/src/ferry_ctl/__init__.py
+++ b/packages/ctl/src/ferry_ctl/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' tool."""
+"""Command-line tool for operators of rosemaryferry."""
--- a/packages/ctl/src/ferry_ctl/_api.py
+++ b/packages/ctl/src/ferry_ctl/_api.py
@@ -1,4 +1,4 @@
-"""Calls of the administration API of a node."""
+"""Client of a node's administration API."""
 
 import json
 import typing
@@ -11,16 +11,16 @@
 
 
 class ApiCallError(click.ClickException):
-    """The node refused, or could not be asked."""
+    """The node refused the call or could not be reached."""
 
 
 @attrs.frozen(slots=True)
 class Reply:
-    """What a node answered.
+    """A node's reply to a call.
 
     Attributes:
         body: The JSON body.
-        version: The version that the ETag names; empty without one.
+        version: The version given by the ETag; empty if there is none.
     """
 
     body: typing.Any
@@ -32,9 +32,9 @@
     """The administration API of one node.
 
     Attributes:
-        url: Its base URL.
+        url: The base URL of the API.
         token: The operators' secret.
-        operator: Who asks, for the audit records.
+        operator: Name of the person calling, for the audit records.
     """
 
     url: str
@@ -49,10 +49,17 @@
         if_version: str = "",
         change_id: str = "",
     ) -> Reply:
-        """Makes one call.
+        """Makes a call and returns the decoded reply.
+
+        Args:
+            method: The HTTP method.
+            path: The path below the base URL.
+            body: The request body; empty for none.
+            if_version: Apply the change only at this version of the document.
+            change_id: Idempotency key that makes a repeated change safe.
 
         Raises:
-            ApiCallError: The node refused, or could not be asked.
+            ApiCallError: The node refused the call or could not be reached.
         """
         headers = {
             "Authorization": f"Bearer {self.token}",
@@ -87,7 +94,7 @@
 
 
 def api_options(command: typing.Any) -> typing.Any:
-    """Adds the options that every call of a node needs."""
+    """Decorates a command with the options for calling a node."""
     options = [
         click.option(
             "--url",
--- a/packages/ctl/src/ferry_ctl/_bench.py
+++ b/packages/ctl/src/ferry_ctl/_bench.py
@@ -1,4 +1,4 @@
-"""`rosemaryferryctl bench`: experiments that print one JSON object each."""
+"""`rosemaryferryctl bench`: experiments, each printing one report."""
 
 import click
 
@@ -18,7 +18,7 @@
 
 @click.group()
 def bench() -> None:
-    """Runs an experiment."""
+    """Runs an experiment and prints its figures."""
 
 
 _json = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
@@ -28,9 +28,11 @@
 @bench.command("failover-gap")
 @_json
 @_seed
-@click.option("--seeds", default=40, show_default=True, help="Per kind.")
+@click.option(
+    "--seeds", default=40, show_default=True, help="Runs per fault kind."
+)
 def failover_gap(as_json: bool, seed: int, seeds: int) -> None:
-    """Faults of primaries: the time without an acknowledged order."""
+    """Measures the time without acknowledged writes when a primary fails."""
     _report.show(_bench_failover.run(seed, seeds), as_json)
 
 
@@ -38,7 +40,7 @@
 @_json
 @_seed
 def replica_share(as_json: bool, seed: int) -> None:
-    """Both users' workloads: the share of reads that replicas serve."""
+    """Measures the share of reads that replicas serve in both workloads."""
     _report.show(_bench_replicas.run(seed), as_json)
 
 
@@ -46,7 +48,7 @@
 @_json
 @_seed
 def fairness(as_json: bool, seed: int) -> None:
-    """Floods at one member: shares, waits and utilisation."""
+    """Measures shares, waits and utilisation while one customer floods."""
     _report.show(_bench_fairness.run(seed), as_json)
 
 
@@ -54,7 +56,7 @@
 @_json
 @_seed
 def membership(as_json: bool, seed: int) -> None:
-    """Dead nodes, loss and pauses at 7, 50 and 410 nodes."""
+    """Measures failure detection at 7, 50 and 410 nodes, and its cost."""
     _report.show(_bench_membership.run(seed), as_json)
 
 
@@ -62,17 +64,21 @@
 @_json
 @_seed
 def contract_spread(as_json: bool, seed: int) -> None:
-    """Changes of contracts at 7 and 410 nodes, with a store outage."""
+    """Measures how contract changes spread at 7 and 410 nodes."""
     _report.show(_bench_spread.run(seed), as_json)
 
 
 @bench.command("path")
 @_json
-@click.option("--direct", required=True, help="Connection string, no proxy.")
-@click.option("--through", required=True, help="The same, through a node.")
-@click.option("--pid", type=int, required=True, help="That node's process.")
+@click.option(
+    "--direct", required=True, help="Connection string without a proxy."
+)
+@click.option(
+    "--through", required=True, help="Connection string through a node."
+)
+@click.option("--pid", type=int, required=True, help="Process ID of that node.")
 def path(as_json: bool, direct: str, through: str, pid: int) -> None:
-    """Cost of the path against processes that already run."""
+    """Measures the cost of the path through a node that already runs."""
     report = _bench_path.run(
         _bench_path.Target(direct),
         _bench_path.Target(through, _standins.PASSWORD),
@@ -85,16 +91,16 @@
 @_json
 @_seed
 def capacity(as_json: bool, seed: int) -> None:
-    """Slopes of what grows with the fleet, and the design size."""
+    """Measures how costs grow with the fleet, up to the design size."""
     _report.show(_bench_capacity.run(seed), as_json)
 
 
 @bench.command("idle")
 @_json
 @click.option("--through", required=True, help="Connection string of a node.")
-@click.option("--pid", type=int, required=True, help="That node's process.")
+@click.option("--pid", type=int, required=True, help="Process ID of that node.")
 def idle(as_json: bool, through: str, pid: int) -> None:
-    """A node's memory for each idle caller."""
+    """Measures a node's memory for each idle caller."""
     target = _bench_path.Target(through, _standins.PASSWORD)
     _report.show(_bench_idle.run(target, pid), as_json)
 
@@ -103,7 +109,7 @@
 @_json
 @_seed
 def overload(as_json: bool, seed: int) -> None:
-    """Writes at up to five times the capacity of a primary."""
+    """Measures goodput at up to five times a primary's write capacity."""
     _report.show(_bench_overload.run(seed), as_json)
 
 
@@ -112,5 +118,5 @@
 @_seed
 @click.option("--seeds", default=20, show_default=True, help="Schedules.")
 def explore(as_json: bool, seed: int, seeds: int) -> None:
-    """Random schedules of overlapping faults, checked for violations."""
+    """Runs random schedules of overlapping faults and counts violations."""
     _report.show(_bench_explore.run(seed, seeds), as_json)
--- a/packages/ctl/src/ferry_ctl/_bench_capacity.py
+++ b/packages/ctl/src/ferry_ctl/_bench_capacity.py
@@ -1,8 +1,8 @@
-"""Slopes of what grows with the fleet, and the figures at the design size.
+"""Costs that grow with the fleet, and their values at the design size.
 
-Each slope is the least-squares fit over at least three sizes measured in this
-run; `r2` tells how good the fit is. Processor seconds are this process's own
-and include the fakes, so they are upper bounds.
+Each slope is a least-squares fit over at least three sizes measured in the
+same run, and `r2` is the quality of the fit. CPU seconds are those of this
+process and include its fakes, so they are upper bounds.
 """
 
 from collections.abc import Callable
@@ -19,6 +19,7 @@
 from ferry_ctl import _bench_failover
 from ferry_ctl import _report
 
+# The fleet of the design size.
 NODES = 410
 DATABASES = 740
 MEMBERS = 3
@@ -32,20 +33,20 @@
 SILENCE_S = 2.2
 WATCH_RUN_S = 10.0
 FAILOVER_RUNS = 6
-TCP_OVERHEAD_BYTES = 80
+TCP_OVERHEAD_BYTES = 80  # Added to the payload of each message.
 TICKS = 50
-TICKS_PER_S = 1 / 0.3
+TICKS_PER_S = 1 / 0.3  # Peers are pinged every 0.3 s.
 STREAM_SIZES = (50, 150, 400)
 
 
 @attrs.frozen
 class Fit:
-    """A straight line through measured points.
+    """A straight line fitted to measured points.
 
     Attributes:
-        slope: Growth for each unit of size.
+        slope: Increase per unit of size.
         base: Value at size 0.
-        r2: Share of the variance that the line explains.
+        r2: Coefficient of determination: the explained share of variance.
     """
 
     slope: float
@@ -53,12 +54,12 @@
     r2: float
 
     def at(self, size: float) -> float:
-        """Returns the line's value at a size."""
+        """Returns the fitted value at `size`."""
         return self.base + self.slope * size
 
 
 def fit(points: list[tuple[float, float]]) -> Fit:
-    """Returns the least-squares line through points."""
+    """Returns the least-squares line through (size, value) points."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
@@ -77,7 +78,7 @@
     sizes: tuple[int, ...],
     measure: Callable[[int], float],
 ) -> Fit:
-    """Measures all sizes and notes the points and the fit."""
+    """Measures all sizes; adds the points and the fit to `figures`."""
     points = []
     for size in sizes:
         value = measure(size)
@@ -90,7 +91,7 @@
 
 
 def _watch_cpu(count: int) -> float:
-    """Returns processor seconds a second for watching databases."""
+    """Returns the CPU share of a node that monitors `count` databases."""
     policy = node.PolicySettings(probe_s=PROBE_INTERVAL_S, silence_s=SILENCE_S)
     labs = [
         standins.Lab(standins.LabPlan(policy=policy), seed)
@@ -106,7 +107,7 @@
 
 
 def _probe_bytes() -> tuple[int, int]:
-    """Returns the bytes of a status probe and of its answer."""
+    """Returns the bytes of a status probe and of its reply, with TCP."""
     order = node.ControlOrder("status")
     asked = len(node.encode_order(order))
     status = decisions.MemberStatus(
@@ -124,7 +125,7 @@
 
 
 def _probe_cpu(count: int) -> float:
-    """Returns processor seconds of coding that many probes."""
+    """Returns CPU seconds for encoding and decoding `count` probes."""
     status = decisions.MemberStatus(
         name="plates-spanish-town",
         promised=12,
@@ -142,7 +143,7 @@
 
 
 def _directory_bytes(count: int) -> float:
-    """Returns the memory of a directory, contracts and databases included."""
+    """Returns the bytes of a directory with `count` customers' entries."""
     tracemalloc.start()
     directory = decisions.Directory()
     book = decisions.ContractBook()
@@ -185,7 +186,7 @@
 
 
 def _admission_cpu(customers: int) -> float:
-    """Returns processor seconds of one slot with that many waiting."""
+    """Returns CPU seconds per slot release, with `customers` queued."""
     timers = decisions.VirtualTimers()
     queue = decisions.AdmissionQueue(
         timers, 5, decisions.ADMISSION_POLICIES.get("fair")()
@@ -206,25 +207,25 @@
 
 
 def _swarm_cost(nodes: int) -> tuple[float, float]:
-    """Returns membership's processor share and bytes a second, per node."""
+    """Returns the CPU share and bytes per second of membership, per node."""
     swarm = standins.Swarm(standins.SwarmPlan(nodes=nodes), 1)
     swarm.timers.advance(12.0)
     sent = sum(n.bytes_sent for n in swarm.nodes.values())
     began = time.process_time()
     swarm.timers.advance(6.0)
     cpu_s = time.process_time() - began
-    bytes_sent = sum(n.bytes_sent for n in swarm.nodes.values()) - sent
-    return cpu_s / nodes / 6.0, bytes_sent / nodes / 6.0
+    sent_in_run = sum(n.bytes_sent for n in swarm.nodes.values()) - sent
+    return cpu_s / nodes / 6.0, sent_in_run / nodes / 6.0
 
 
 def _run_ready(loop: runtime.EventLoop) -> None:
-    """Runs what is ready, without waiting."""
+    """Runs ready callbacks once; the queued no-op prevents waiting."""
     loop.call_soon(lambda: None)
     loop.step()
 
 
 def _peer_streams(count: int) -> tuple[float, float]:
-    """Returns the memory of streams, both ends, and a tick's seconds."""
+    """Returns bytes held by `count` streams, both ends, and CPU s per tick."""
     loop = runtime.EventLoop()
     hello = node.Hello("here", "dc")
     tracemalloc.start()
@@ -248,7 +249,7 @@
 
 
 def run(seed: int) -> _report.Report:
-    """Returns slopes, and the figures at the design size."""
+    """Returns the fitted slopes and the figures at the design size."""
     figures: _report.Figures = {}
     watch = _measure_slope(figures, "watch_core", (2, 8, 24), _watch_cpu)
     probe = _measure_slope(figures, "probe_cpu_s", (200, 800, 3200), _probe_cpu)
--- a/packages/ctl/src/ferry_ctl/_bench_explore.py
+++ b/packages/ctl/src/ferry_ctl/_bench_explore.py
@@ -1,4 +1,4 @@
-"""Random schedules of overlapping faults, checked for broken promises."""
+"""Random schedules of overlapping faults, checked for violations."""
 
 import attrs
 import ferry_standins as standins
@@ -14,14 +14,14 @@
 
 
 class _FaultInjector:
-    """Begins and ends faults at random, several at a time."""
+    """Injects random faults, which may overlap and end by themselves."""
 
     def __init__(self, lab: standins.Lab) -> None:
         self._lab = lab
         self.count = 0
 
     def begin_one(self) -> None:
-        """Begins a fault that ends by itself."""
+        """Injects one random fault for a random time."""
         rng = self._lab.random
         self.count += 1
         member = rng.choice(list(self._lab.members))
@@ -95,7 +95,7 @@
 
 
 def explore(seed: int) -> tuple[standins.Verdict, int, int]:
-    """Runs one schedule; returns the verdict, the requests and the faults."""
+    """Runs one schedule; returns its verdict and counts of requests, faults."""
     lab = standins.Lab(standins.LabPlan(statement_s=0.004), seed)
     lab.timers.advance(1.5)
     nodes = list(lab.members_of.values())
@@ -136,7 +136,7 @@
 
 
 def _heal_all(lab: standins.Lab) -> None:
-    """Ends all faults and lets everything come to rest."""
+    """Ends all faults and lets the system settle."""
     lab.store.down = False
     lab.link_faults.delay_s = 0.002
     lab.link_faults.apply_s = 0.0
@@ -151,7 +151,7 @@
 
 
 def run(seed: int, seeds: int) -> _report.Report:
-    """Returns the violations over many schedules."""
+    """Returns the violations summed over `seeds` schedules."""
     totals = standins.Verdict()
     figures: _report.Figures = {}
     requests = 0
--- a/packages/ctl/src/ferry_ctl/_bench_failover.py
+++ b/packages/ctl/src/ferry_ctl/_bench_failover.py
@@ -1,4 +1,4 @@
-"""How long no order is acknowledged when a primary goes."""
+"""Time without acknowledged writes after the failure of a primary."""
 
 import attrs
 import ferry_decisions as decisions
@@ -15,19 +15,21 @@
 ORDER_TIMEOUT_S = 8.0
 SLOWDOWN_S = 3.0
 FLAP_DOWN_UP_S = (0.5, 0.3)
+
+# Recovery is shown by a write that began this long after the fault and ran.
 RECOVERY_CHECK_DELAY_S = 0.3
 
 
 @attrs.frozen
 class GapResult:
-    """What one fault did.
+    """Effects of one fault.
 
     Attributes:
-        gap_s: Longest time without an acknowledged order, in seconds.
-        violations: Broken promises.
-        unknown: Orders whose outcome was not known.
+        gap_s: Longest time without an acknowledged write, in seconds.
+        violations: Violations of the consistency guarantees.
+        unknown: Requests whose outcome is unknown.
         promotions: Changes of primary.
-        recovered: Whether orders went on before the end of the run.
+        recovered: Whether a write was acknowledged after the fault.
     """
 
     gap_s: float
@@ -38,10 +40,10 @@
 
 
 class _Writers:
-    """Sessions that place orders all the time.
+    """Sessions that send requests continuously.
 
-    Some stay with one node, as a caller behind the balancer does, and some
-    move to another node with each request.
+    Some sessions use one node, as a caller behind the load balancer does, and
+    others pick a random node for each request.
     """
 
     def __init__(self, lab: standins.Lab) -> None:
@@ -59,7 +61,7 @@
         self._busy: set[str] = set()
 
     def step(self) -> None:
-        """Lets each session that is not waiting send a request."""
+        """Sends a request from each session that is not awaiting a reply."""
         for session in self._sessions:
             if session.name not in self._busy:
                 self._send(session)
@@ -77,7 +79,7 @@
 def run_fault(
     kind: str, seed: int, store_down: bool, plan: standins.LabPlan
 ) -> GapResult:
-    """Runs one fault and returns what it did."""
+    """Injects one fault and returns its effects."""
     lab = standins.Lab(plan, seed)
     lab.timers.advance(WARM_UP_S + lab.random.uniform(0.0, 0.3))
     writers = _Writers(lab)
@@ -153,7 +155,7 @@
 
 
 def _flap(lab: standins.Lab, old: str, times: int) -> None:
-    """Isolates a member again and again, too briefly to be replaced."""
+    """Isolates a member repeatedly, too briefly for it to be replaced."""
     if not times:
         return
     down, up = FLAP_DOWN_UP_S
@@ -163,7 +165,7 @@
 
 
 def _heal(lab: standins.Lab, old: str, kind: str) -> None:
-    """Ends the fault and lets the old primary come back."""
+    """Ends the fault and lets the old primary rejoin."""
     lab.store.down = False
     lab.members[old].silent = False
     lab.restart(old)
@@ -175,10 +177,10 @@
 
 
 def false_promotions(seed: int, minutes: float) -> int:
-    """Returns the changes of primary in a time of lag spikes and pauses.
+    """Returns the changes of primary under lag spikes and pauses.
 
-    Members stop answering and nodes pause for up to 1 s each, and replication
-    falls behind for seconds; nothing of that must replace a primary.
+    Members stop responding and nodes pause for up to 1 s each, and replication
+    falls behind for seconds. None of this should replace a primary.
     """
     lab = standins.Lab(standins.LabPlan(), seed)
     lab.timers.advance(2.0)
@@ -201,14 +203,14 @@
 def _pause_member(
     lab: standins.Lab, member: standins.VirtualMember, length: float
 ) -> None:
-    """Stops a member for a while; what it was sent is answered late."""
+    """Pauses a member, which then answers pending requests late."""
     member.paused_until = lab.timers.now() + length
     lab.group.set_down(member.name, True)
     lab.timers.after(length, lambda: lab.group.set_down(member.name, False))
 
 
 def run(seed: int, seeds: int) -> _report.Report:
-    """Returns the gaps over many seeded faults of each kind."""
+    """Returns the gaps over `seeds` runs of each fault kind."""
     figures: _report.Figures = {}
     all_results: list[GapResult] = []
     lasting_gaps: list[float] = []
--- a/packages/ctl/src/ferry_ctl/_bench_fairness.py
+++ b/packages/ctl/src/ferry_ctl/_bench_fairness.py
@@ -1,4 +1,4 @@
-"""Shares, waits and utilisation of one member's slots under floods."""
+"""Fairness of one member's slots while a customer floods it."""
 
 import random
 
@@ -19,12 +19,12 @@
 
 @attrs.frozen
 class Demand:
-    """What one customer asks for.
+    """The load that one customer offers.
 
     Attributes:
-        customer: Its name.
-        share: Its contract's share.
-        load: Its offered load, as a multiple of its part of the slots.
+        customer: The customer's name.
+        share: The share in its contract.
+        load: Offered load, as a multiple of the customer's share of the slots.
     """
 
     customer: str
@@ -34,14 +34,15 @@
 
 @attrs.frozen
 class Scenario:
-    """A mix of customers.
+    """A mix of customers, with optional events during the run.
 
     Attributes:
-        name: Its name in the figures.
-        demands: The customers.
-        amend_at_s: When the first customer's share is doubled; 0 for never.
-        gap_at_s: When the slots are lost for a while, as when the serving
-            node dies; 0 for never.
+        name: The scenario's name in the figures.
+        demands: The load of each customer.
+        amend_at_s: Time at which the first customer's share doubles; 0 for
+            never.
+        outage_at_s: Time at which all slots are unavailable for `OUTAGE_S`, as
+            when the serving node fails; 0 for never.
     """
 
     name: str
@@ -78,18 +79,18 @@
 )
 OUTAGE_S = 1.0
 EXCLUDED_FROM_WORST = "wait_ratio_amended_and_lost"
-"""Not in the worst ratio: nobody is served in the gap itself."""
+"""Excluded from the worst ratio: no customer is served in the outage."""
 
 
 @attrs.define
 class CustomerResult:
-    """What one customer got.
+    """Service that one customer received.
 
     Attributes:
-        asked_s: Slot seconds that it asked for.
-        got_s: Slot seconds that it got.
-        waits: Its waits for a slot, in seconds.
-        refused: Statements that were refused.
+        requested_s: Slot time that it requested, in seconds.
+        received_s: Slot time that it received, in seconds.
+        waits: Waiting time of each statement for a slot, in seconds.
+        refused: Number of refused statements.
     """
 
     requested_s: float = 0.0
@@ -99,7 +100,7 @@
 
 
 class _Run:
-    """One scene under one order."""
+    """A simulation of one scenario under one admission policy."""
 
     def __init__(
         self, scenario: Scenario, order: str, seed: int, alone: str = ""
@@ -134,7 +135,7 @@
             self.timers.after(scenario.outage_at_s, self._lose_slots)
 
     def run(self) -> None:
-        """Runs the scene to its end."""
+        """Runs the scenario to its end."""
         self.timers.run_until(RUN_S + DRAIN_S)
 
     def _amend(self) -> None:
@@ -242,7 +243,7 @@
 
 
 def run(seed: int) -> _report.Report:
-    """Returns the figures of fair queueing and of the baselines."""
+    """Returns the figures of fair queueing and of the baseline policies."""
     return _report.Report(
         "fairness",
         seed,
--- a/packages/ctl/src/ferry_ctl/_bench_idle.py
+++ b/packages/ctl/src/ferry_ctl/_bench_idle.py
@@ -1,4 +1,4 @@
-"""Memory of a node's process for each idle caller."""
+"""Memory of a node process per idle caller."""
 
 import time
 
@@ -10,14 +10,14 @@
 from ferry_ctl import _report
 
 SIZES = (0, 400, 800, 1600)
-WARM_UP = 50
+WARM_UP_CALLERS = 50
 SETTLE_S = 1.0
 
 
 def run(target: _bench_path.Target, pid: int) -> _report.Report:
-    """Returns the process's memory at several numbers of callers."""
+    """Returns the memory of process `pid` at several numbers of callers."""
     _bench_path.wait_until_ready(target)
-    warm = [target.connect() for _ in range(WARM_UP)]
+    warm = [target.connect() for _ in range(WARM_UP_CALLERS)]
     figures: _report.Figures = {}
     points: list[tuple[float, float]] = []
     conns: list[psycopg.Connection[tuple[int]]] = []
@@ -40,6 +40,6 @@
     figures["core_share_idle"] = core_share
     per_node = _bench_capacity.CALLERS / _bench_capacity.NODES
     figures["mb_at_design_size"] = line.at(per_node) / 1e6
-    for conn in [*warm, *conns]:
-        conn.close()
+    for open_conn in [*warm, *conns]:
+        open_conn.close()
     return _report.Report("idle", 0, figures)
--- a/packages/ctl/src/ferry_ctl/_bench_membership.py
+++ b/packages/ctl/src/ferry_ctl/_bench_membership.py
@@ -1,4 +1,4 @@
-"""Detection, false alarms and cost of membership at three sizes."""
+"""Failure detection time, false detections and cost of membership."""
 
 import time
 
@@ -11,17 +11,17 @@
 DETECTION_LIMIT_S = 14.0
 NOISY_S = 20.0
 PAUSE_S = 1.0
-LOSS = 0.05
+LOSS_SHARE = 0.05
 STEP_S = 0.1
-KILLS = 3
+KILLED_NODES = 3
 OBSERVERS = 60
 
 
 def _detection(size: int, seed: int, loss: float) -> list[float]:
-    """Returns the times until nodes stopped using a node that died."""
+    """Returns the times until observers stopped listing a failed node."""
     swarm = standins.Swarm(standins.SwarmPlan(nodes=size, loss=loss), seed)
     swarm.timers.advance(STEADY_S)
-    dead = swarm.random.sample(list(swarm.nodes), min(KILLS, size // 3))
+    dead = swarm.random.sample(list(swarm.nodes), min(KILLED_NODES, size // 3))
     for name in dead:
         swarm.kill(name)
     died_at = swarm.timers.now()
@@ -41,8 +41,10 @@
 
 
 def _false_deaths(size: int, seed: int) -> tuple[int, int]:
-    """Returns suspicions and false deaths under loss and pauses of 1 s."""
-    swarm = standins.Swarm(standins.SwarmPlan(nodes=size, loss=LOSS), seed)
+    """Returns suspicions and false deaths under packet loss and 1 s pauses."""
+    swarm = standins.Swarm(
+        standins.SwarmPlan(nodes=size, loss=LOSS_SHARE), seed
+    )
     swarm.timers.advance(STEADY_S)
     before = sum(n.view.suspicions for n in swarm.nodes.values())
     end = swarm.timers.now() + NOISY_S
@@ -61,19 +63,19 @@
 
 
 def _cost(size: int, seed: int) -> tuple[float, float]:
-    """Returns bytes and processor seconds per node and second, in calm."""
+    """Returns bytes and CPU seconds per node and second in steady state."""
     swarm = standins.Swarm(standins.SwarmPlan(nodes=size), seed)
     swarm.timers.advance(STEADY_S)
     sent = sum(n.bytes_sent for n in swarm.nodes.values())
     began = time.process_time()
     swarm.timers.advance(STEADY_S)
     used = time.process_time() - began
-    sent_later = sum(n.bytes_sent for n in swarm.nodes.values()) - sent
-    return sent_later / size / STEADY_S, used / size / STEADY_S
+    sent_in_run = sum(n.bytes_sent for n in swarm.nodes.values()) - sent
+    return sent_in_run / size / STEADY_S, used / size / STEADY_S
 
 
 def _healing(size: int, seed: int) -> float:
-    """Returns the time to full views after a data centre's cut of 30 s."""
+    """Returns the time to complete views after a 30 s data centre cut."""
     swarm = standins.Swarm(standins.SwarmPlan(nodes=size), seed)
     swarm.timers.advance(STEADY_S)
     for other in range(1, swarm.plan.centres):
@@ -89,10 +91,10 @@
 
 
 def run(seed: int) -> _report.Report:
-    """Returns the figures at all sizes."""
+    """Returns the membership figures at all sizes."""
     figures: _report.Figures = {}
     for size in SIZES:
-        times = _detection(size, seed, loss=LOSS)
+        times = _detection(size, seed, loss=LOSS_SHARE)
         figures[f"detection_median_s_{size}"] = _report.median(times)
         figures[f"detection_p99_s_{size}"] = _report.percentile(times, 0.99)
         sent, used = _cost(size, seed)
--- a/packages/ctl/src/ferry_ctl/_bench_overload.py
+++ b/packages/ctl/src/ferry_ctl/_bench_overload.py
@@ -1,4 +1,4 @@
-"""Goodput, refusals and memory at several times the capacity."""
+"""Goodput, refusals and queue length at several times the capacity."""
 
 import attrs
 import ferry_decisions as decisions
@@ -16,14 +16,15 @@
 
 @attrs.frozen
 class LoadResult:
-    """What one load gave.
+    """Measurements at one load.
 
     Attributes:
-        goodput: Answers a second that came before the callers' deadlines.
-        refused_s: Median seconds until a refusal.
-        most_held: Most requests that were in the system at once.
-        violations: Broken promises, "not run" that ran among them.
-        tries_ratio: Requests that reached a member, for each first try.
+        goodput: Replies per second that arrived within the callers' deadlines.
+        refusal_s: Median time until a refusal, in seconds.
+        max_in_flight: Largest number of concurrent requests.
+        violations: Violations of the guarantees, including requests that ran
+            although they were reported as "not run".
+        runs_per_request: Writes that members stored, per request sent.
     """
 
     goodput: float
@@ -34,7 +35,7 @@
 
 
 def run_load(load: float, seed: int) -> LoadResult:
-    """Sends writes at a multiple of the primary's capacity."""
+    """Sends writes at `load` times the capacity of the primary."""
     plan = standins.LabPlan(statement_s=STATEMENT_S, slots=SLOTS)
     lab = standins.Lab(plan, seed)
     lab.contracts.merge(
@@ -54,14 +55,14 @@
     end = lab.timers.now() + RUN_S
     begun = lab.timers.now()
     in_flight = 0
-    max_in_flight = 0
+    peak = 0
     sent = 0
     while lab.timers.now() < end:
         lab.timers.advance(lab.random.expovariate(load * capacity))
         session = standins.LabSession(lab, f"s{sent}", timeout_s=TIMEOUT_S)
         sent += 1
         in_flight += 1
-        max_in_flight = max(max_in_flight, in_flight)
+        peak = max(peak, in_flight)
         fut = session.write(lab.random.choice(nodes))
 
         def done(_: object) -> None:
@@ -81,14 +82,14 @@
     return LoadResult(
         goodput=len(counted) / (RUN_S - 1.0),
         refusal_s=_report.median(refused),
-        max_in_flight=max_in_flight,
+        max_in_flight=peak,
         violations=lab.verdict().total,
         runs_per_request=len(lab.stored()) / max(1, sent),
     )
 
 
 def run(seed: int) -> _report.Report:
-    """Returns goodput at loads from half to five times the capacity."""
+    """Returns the figures at loads from half to five times the capacity."""
     figures: _report.Figures = {}
     found = {load: run_load(load, seed) for load in LOADS}
     for load, result in found.items():
--- a/packages/ctl/src/ferry_ctl/_bench_path.py
+++ b/packages/ctl/src/ferry_ctl/_bench_path.py
@@ -1,6 +1,7 @@
-"""The cost of the path: through a node, against the stand-in reached directly.
+"""Cost of the path through a node, compared with a direct connection.
 
-Wall time, so the figures that count are ratios within one run.
+The database is a stand-in. Times are wall-clock times, so only the ratios
+within one run are meaningful.
 """
 
 import concurrent.futures
@@ -23,11 +24,11 @@
 
 @attrs.frozen
 class Target:
-    """Where statements are sent.
+    """A database address to which statements are sent.
 
     Attributes:
         dsn: The connection string.
-        password: The password; empty for none.
+        password: The password; empty if none is needed.
     """
 
     dsn: str
@@ -41,7 +42,7 @@
 
 
 def _latency(target: Target, token: bool) -> float:
-    """Returns the median seconds of a statement at one connection."""
+    """Returns the median latency of a statement on one connection, in s."""
     times = []
     with target.connect() as conn:
         if token:
@@ -69,7 +70,10 @@
 
 
 def _keep_session_token(conn: "psycopg.Connection[tuple[int]]") -> None:
-    """Makes a connection keep its floors itself, where it can."""
+    """Sets the session token on the connection, if the server issued one.
+
+    The connection then carries the session's floors itself.
+    """
     conn.execute(SQL)
     token = conn.pgconn.parameter_status(b"rosemaryferry.session")
     if token:
@@ -77,7 +81,7 @@
 
 
 def _throughput(target: Target, pipeline: int) -> float:
-    """Returns statements a second with several clients."""
+    """Returns statements per second with `CLIENTS` concurrent clients."""
     begun = time.perf_counter()
     end = begun + THROUGHPUT_S
     with concurrent.futures.ThreadPoolExecutor(CLIENTS) as pool:
@@ -89,7 +93,11 @@
 
 
 def wait_until_ready(target: Target) -> None:
-    """Waits until a place answers."""
+    """Waits until `target` answers.
+
+    Raises:
+        click.ClickException: It did not answer within `STARTUP_TIMEOUT_S`.
+    """
     end = time.monotonic() + STARTUP_TIMEOUT_S
     while True:
         try:
@@ -103,7 +111,7 @@
 
 
 def run(direct: Target, through: Target, pid: int) -> _report.Report:
-    """Returns the cost through a node beside the cost without it."""
+    """Returns the cost through a node and, as the baseline, without it."""
     for target in (direct, through):
         wait_until_ready(target)
     before = _latency(direct, token=False)
--- a/packages/ctl/src/ferry_ctl/_bench_replicas.py
+++ b/packages/ctl/src/ferry_ctl/_bench_replicas.py
@@ -1,4 +1,4 @@
-"""The replicas' share of reads on both users' workloads."""
+"""Share of reads that replicas serve in both users' workloads."""
 
 import attrs
 import ferry_decisions as decisions
@@ -14,17 +14,17 @@
 
 @attrs.frozen
 class Workload:
-    """One customer's way of working.
+    """Simulated workload of one customer.
 
     Attributes:
-        name: Its short name.
-        plan: What it runs on.
-        sessions: Callers at once.
+        name: Short name used in the figures.
+        plan: Configuration of the simulated deployment.
+        sessions: Number of concurrent callers.
         order_share: Share of requests that write.
-        own_share: Share of reads that ask for the session's own last write.
+        own_share: Share of reads that read the session's own last write.
         think_s: Mean time between two requests of a session, in seconds.
-        reconnect_share: Share of requests before which the caller comes back
-            without its token.
+        reconnect_share: Share of requests before which the caller reconnects
+            without its session token.
     """
 
     name: str
@@ -64,14 +64,14 @@
 
 @attrs.frozen
 class ShareResult:
-    """What one run gave.
+    """Measurements of one run.
 
     Attributes:
         share: Share of the answered reads that replicas served.
-        read_p50_s: Median time of a read, in seconds.
-        read_p99_s: Its 99th percentile, in seconds.
-        violations: Broken promises.
-        failed: Requests without an answer.
+        read_p50_s: Median latency of reads, in seconds.
+        read_p99_s: 99th percentile of the latency of reads, in seconds.
+        violations: Violations of the consistency guarantees.
+        failed: Number of requests that did not run.
     """
 
     share: float
@@ -82,7 +82,7 @@
 
 
 class _Caller:
-    """A session that thinks, asks, and thinks again."""
+    """A session that alternates between a pause and a request."""
 
     def __init__(
         self, lab: standins.Lab, work: Workload, number: int, floors: bool
@@ -119,7 +119,7 @@
 def run_workload(
     work: Workload, lag_s: float, policy: str, seed: int, catch_up_s: float
 ) -> ShareResult:
-    """Runs a workload under one lag and one read policy."""
+    """Runs a workload with one replication lag and one read policy."""
     plan = attrs.evolve(
         work.plan,
         apply_s=lag_s,
@@ -172,7 +172,7 @@
 
 
 def run(seed: int) -> _report.Report:
-    """Returns the shares of the product and of its baselines."""
+    """Returns the figures of the default read policy and of the baselines."""
     return _report.Report(
         "replica-share",
         seed,
--- a/packages/ctl/src/ferry_ctl/_bench_spread.py
+++ b/packages/ctl/src/ferry_ctl/_bench_spread.py
@@ -1,4 +1,4 @@
-"""How fast a change is in force on every node, and what the store is asked."""
+"""Propagation time of contract changes, and the load on the store."""
 
 import json
 
@@ -27,7 +27,7 @@
 
 
 class _Observer:
-    """Sees when each node takes a version, and whether one goes back."""
+    """Records when each node applies a version, and whether one reverts."""
 
     def __init__(self, swarm: standins.Swarm) -> None:
         self.swarm = swarm
@@ -53,7 +53,7 @@
             )
 
     def change(self, version: int) -> None:
-        """Writes a version as an operator does, through some node."""
+        """Writes a version through a random node, as an operator does."""
         nodes = list(self.swarm.nodes.values())
         node = self.swarm.random.choice(nodes)
         self.written_at[version] = self.swarm.timers.now()
@@ -76,7 +76,7 @@
     for version in range(2, CHANGES + 2):
         observer.change(version)
         swarm.timers.advance(CHANGE_INTERVAL_S)
-    stream_bytes = sum(n.stream_bytes for n in swarm.nodes.values()) - streams
+    sent_bytes = sum(n.stream_bytes for n in swarm.nodes.values()) - streams
     seconds = CHANGES * CHANGE_INTERVAL_S
     times = list(observer.times)
     missing = size * CHANGES - len(times)
@@ -87,7 +87,7 @@
         f"missed_{size}": missing,
         f"reverts_{size}": observer.reverts,
         f"store_calls_per_s_{size}": steady_calls_per_s,
-        f"stream_bytes_per_s_per_node_{size}": stream_bytes / size / seconds,
+        f"stream_bytes_per_s_per_node_{size}": sent_bytes / size / seconds,
     }
     figures.update(_outage(swarm, observer, size))
     return figures
@@ -96,7 +96,7 @@
 def _outage(
     swarm: standins.Swarm, observer: _Observer, size: int
 ) -> _report.Figures:
-    """The store goes away and comes back; a change waits for it."""
+    """Measures a store outage and a change written right after it."""
     swarm.store.down = True
     calls = swarm.store.calls
     swarm.timers.advance(OUTAGE_S)
@@ -122,7 +122,7 @@
 
 
 def run(seed: int) -> _report.Report:
-    """Returns the figures at 7 and at 410 nodes."""
+    """Returns the propagation figures at 7 and at 410 nodes."""
     figures: _report.Figures = {}
     for size in (7, 410):
         figures.update(_run(size, seed))
--- a/packages/ctl/src/ferry_ctl/_contracts.py
+++ b/packages/ctl/src/ferry_ctl/_contracts.py
@@ -1,4 +1,4 @@
-"""`rosemaryferryctl contract`: the contracts of customers."""
+"""`rosemaryferryctl contract`: shows and changes customers' contracts."""
 
 import json
 import pathlib
@@ -47,7 +47,7 @@
 @click.argument("customer")
 @_api.api_options
 def history(customer: str, url: str, token: str, operator: str) -> None:
-    """Shows who changed a contract, and how; the newest change first."""
+    """Shows a contract's changes and their authors, newest first."""
     _show(_api.Api(url, token, operator), f"/v1/contracts/{customer}/history")
 
 
@@ -72,7 +72,7 @@
 @contract.command()
 @click.argument("customer")
 @click.argument("path", type=click.Path(exists=True, dir_okay=False))
-@click.option("--version", required=True, help="The version you amend.")
+@click.option("--version", required=True, help="The version to amend.")
 @_api.api_options
 def amend(
     customer: str,
@@ -82,7 +82,7 @@
     token: str,
     operator: str,
 ) -> None:
-    """Replaces a contract, if it is still at the version you name."""
+    """Replaces a contract if it is still at the given version."""
     api = _api.Api(url, token, operator)
     reply = api.call(
         "PUT",
@@ -96,12 +96,12 @@
 
 @contract.command()
 @click.argument("customer")
-@click.option("--version", required=True, help="The version you delete.")
+@click.option("--version", required=True, help="The version to delete.")
 @_api.api_options
 def delete(
     customer: str, version: str, url: str, token: str, operator: str
 ) -> None:
-    """Deletes a contract: its customer is no longer served."""
+    """Deletes a contract, so that its customer is no longer served."""
     api = _api.Api(url, token, operator)
     api.call("DELETE", f"/v1/contracts/{customer}", if_version=version)
     click.echo(f"{customer} is deleted")
--- a/packages/ctl/src/ferry_ctl/_demo.py
+++ b/packages/ctl/src/ferry_ctl/_demo.py
@@ -1,4 +1,4 @@
-"""`rosemaryferryctl demo`: the main job on stand-ins, in one process."""
+"""`rosemaryferryctl demo`: a failover under load on in-process stand-ins."""
 
 import concurrent.futures
 import random
@@ -24,22 +24,23 @@
 
 
 class DemoFailedError(click.ClickException):
-    """The demo saw something that must never happen."""
+    """The demo could not be carried out."""
 
 
 @attrs.define
 class Tally:
-    """What the clerks saw.
+    """Counts of what the clerks observed, shared by their threads.
 
     Attributes:
-        statements: Statements that were answered.
-        refused: Requests that were told not to have run.
-        unknown: Requests whose outcome was not known.
-        violations: Reads that did not show the clerk's own orders.
-        acknowledged: Orders that were acknowledged, by number.
-        unsure: Orders whose outcome was not known, by number.
-        not_run: Orders that were told not to have run, by number.
-        ack_times: When each order was acknowledged, in seconds.
+        statements: Number of answered statements.
+        refused: Number of requests reported as not run.
+        unknown: Number of requests whose outcome is unknown.
+        violations: Number of reads that lacked an order of the same clerk.
+        acknowledged: Serial numbers of acknowledged orders.
+        unknown_orders: Serial numbers of orders whose outcome is unknown.
+        not_run: Serial numbers of orders reported as not run.
+        ack_times: Monotonic time of each acknowledgement, in seconds.
+        lock: Guards the other attributes.
     """
 
     statements: int = 0
@@ -54,7 +55,7 @@
 
 
 class Clerk:
-    """Places orders, and reads them back through whatever node comes next."""
+    """Places orders and reads them back, through a random node each time."""
 
     def __init__(
         self,
@@ -74,7 +75,7 @@
         self._order_count = 0
 
     def work(self, end: float) -> None:
-        """Works until a moment, in seconds of the monotonic clock."""
+        """Sends requests until `end`, in seconds of the monotonic clock."""
         while time.monotonic() < end:
             node = self._random.choice(list(self._fleet.nodes))
             if self._random.random() < ORDER_SHARE:
@@ -84,7 +85,7 @@
             time.sleep(REQUEST_INTERVAL_S)
 
     def close(self) -> None:
-        """Closes all connections."""
+        """Closes all connections of this clerk."""
         for conn in self._conns.values():
             conn.close()
 
@@ -155,7 +156,11 @@
 
 
 def start_fleet() -> standins.Fleet:
-    """Returns a fleet that serves, with both customers' contracts."""
+    """Starts a fleet with both customers' contracts; waits until it serves.
+
+    Raises:
+        DemoFailedError: It does not serve within `STARTUP_S`.
+    """
     logging.set_verbosity(logging.ERROR)
     fleet = standins.Fleet(standins.FleetPlan())
     for customer, share in _standins.CUSTOMERS.items():
@@ -176,14 +181,18 @@
         except psycopg.Error as exc:
             if time.monotonic() > end:
                 fleet.close()
-                raise DemoFailedError(f"did not come up: {exc}") from exc
+                raise DemoFailedError(
+                    f"the fleet did not start: {exc}"
+                ) from exc
             time.sleep(0.1)
 
 
 @click.command()
-@click.option("--serve", is_flag=True, help="Stay up for your own client.")
+@click.option(
+    "--serve", is_flag=True, help="Keep serving, for use with your own client."
+)
 def demo(serve: bool) -> None:
-    """Runs the main job on stand-ins and prints what was seen."""
+    """Runs clients on stand-ins through a failover and prints a summary."""
     fleet = start_fleet()
     try:
         if serve:
--- a/packages/ctl/src/ferry_ctl/_explain.py
+++ b/packages/ctl/src/ferry_ctl/_explain.py
@@ -1,7 +1,8 @@
-"""`explain`: joins the logs of many nodes into the story of one thing.
+"""`explain`: merges the logs of many nodes into one timeline.
 
-Each line holds one JSON object, perhaps after words of a collector. What is
-asked for is a request's id, or a service, for its changes of primary.
+The timeline is that of a request, selected by its id, or of a service and its
+changes of primary. Each log line holds one JSON object, which a log collector
+may have prefixed with text.
 """
 
 from collections.abc import Iterator
@@ -12,11 +13,13 @@
 import attrs
 import click
 
-REQUEST_EVENTS = frozenset(
-    {"RequestDone", "RequestServed"}
-)  # At entry, served.
+# Written by the entry node and by the serving node, respectively.
+REQUEST_EVENTS = frozenset({"RequestDone", "RequestServed"})
+
 OMITTED_LINES_EVENT = "LinesLeftOut"
-CONTEXT_BEFORE_S = 2.0  # How long before a request its surroundings are shown.
+
+# Events that are shown with a request, from this long before it began.
+CONTEXT_BEFORE_S = 2.0
 CONTEXT_EVENTS = frozenset(
     {
         "LeaderFound",
@@ -33,18 +36,20 @@
         "Ready",
     }
 )
+
+# Fields of every line; all others belong to the event.
 HEADER_FIELDS = frozenset({"at", "node", "event"})
 
 
 @attrs.frozen(slots=True)
 class Line:
-    """A line of a log.
+    """An event of a log.
 
     Attributes:
-        at: The time of day, in seconds.
-        node: Who wrote it.
-        event: Its type.
-        fields: The rest.
+        at: Wall-clock time, in seconds.
+        node: Name of the node that wrote the line.
+        event: Type of the event.
+        fields: All other fields of the line.
     """
 
     at: float
@@ -53,14 +58,14 @@
     fields: dict[str, typing.Any]
 
     def format(self, origin: float) -> str:
-        """Returns it for a reader, with the time since `origin`."""
+        """Returns the line as text, with its time relative to `origin`."""
         words = " ".join(f"{k}={v}" for k, v in self.fields.items())
         offset = self.at - origin
         return f"{offset:+9.4f}  {self.node:<28} {self.event:<18} {words}"
 
 
 def parse(text: str) -> Line | None:
-    """Reads a line; None where it holds no event."""
+    """Parses a line; returns None if it holds no event."""
     start = text.find("{")
     if start < 0:
         return None
@@ -73,7 +78,7 @@
 
 
 def read(paths: tuple[str, ...]) -> list[Line]:
-    """Returns all events of the files, in order of time."""
+    """Returns all events of the files, ordered by time."""
     lines: list[Line] = []
     for path in paths:
         text = pathlib.Path(path).read_text(encoding="utf-8", errors="replace")
@@ -82,7 +87,7 @@
 
 
 def timeline(lines: list[Line], name: str) -> Iterator[str]:
-    """Yields what the lines tell of a request's id or a service."""
+    """Yields the timeline of a request, by its id, or of a service."""
     requests = [
         x
         for x in lines
@@ -114,7 +119,7 @@
 
 
 def _omitted_lines(lines: list[Line]) -> Iterator[str]:
-    """Says how many lines the nodes left out."""
+    """Yields a note on how many lines the nodes omitted, if any."""
     omitted = [x.fields for x in lines if x.event == OMITTED_LINES_EVENT]
     if omitted:
         kinds = ("requests", "failures", "blocked")
@@ -127,7 +132,7 @@
 @click.argument("name")
 @click.argument("files", nargs=-1, required=True)
 def explain(name: str, files: tuple[str, ...]) -> None:
-    """Tells the story of a request (by id) or of a service's primary.
+    """Shows the timeline of a request (by id) or of a service's primary.
 
     FILES are the nodes' logs, in any order.
     """
--- a/packages/ctl/src/ferry_ctl/_losses.py
+++ b/packages/ctl/src/ferry_ctl/_losses.py
@@ -1,8 +1,8 @@
-"""`losses`: what was not served, when, and for which reason, out of logs.
+"""`losses`: shows from logs when and why requests were not served.
 
-Each window of time is a row: how many requests ran, how many did not by
-reason, and how many lines were left out, so that one sees what the row rests
-on. Lines of many nodes are read together.
+Each row covers one time window. It shows how many requests ran, how many did
+not, by reason, and how many log lines were omitted, which tells how complete
+the row is. The logs of many nodes are read together.
 """
 
 import collections
@@ -14,8 +14,8 @@
 from ferry_ctl import _explain
 
 RAN = "ran"
-DONE_EVENT = "RequestDone"  # At the entry: one line a request.
-BAR_WIDTH = 40  # Characters of the longest bar.
+DONE_EVENT = "RequestDone"  # The entry node writes one per request.
+BAR_WIDTH = 40  # Length of the longest bar, in characters.
 STATE_CHANGE_EVENTS = frozenset(
     {"PromotionStep", "Ready", "DependencyLost", "NodeStarted"}
 )
@@ -23,14 +23,15 @@
 
 @attrs.define
 class Window:
-    """What the logs tell of one span of time.
+    """Counts of the events in one time window.
 
     Attributes:
-        at: Its beginning, in seconds since the first line.
-        ran: Requests that ran, by the lines that are there.
-        reasons: Requests that did not, by reason.
-        left_out: Lines that the nodes left out for want of budget.
-        changes: Changes of what nodes believe, by event.
+        at: Start of the window, in seconds since the first line.
+        ran: Number of requests that ran, according to the lines present.
+        reasons: Number of requests that did not run, by reason.
+        left_out: Number of lines that nodes omitted to stay within their
+            logging budget.
+        changes: Number of state changes of nodes, by event.
     """
 
     at: float
@@ -41,11 +42,11 @@
 
     @property
     def lost(self) -> int:
-        """Requests that did not run."""
+        """Number of requests that did not run."""
         return sum(self.reasons.values())
 
     def add(self, line: _explain.Line) -> None:
-        """Takes a line of the window in."""
+        """Adds a line to the counts."""
         if line.event == DONE_EVENT:
             outcome = str(line.fields["outcome"])
             if outcome == RAN:
@@ -59,11 +60,11 @@
 
 
 def windows(lines: list[_explain.Line], step_s: float) -> list[Window]:
-    """Returns the windows of logs, in order of time.
+    """Returns the non-empty time windows of logs, ordered by time.
 
     Args:
-        lines: All lines, in order of time.
-        step_s: The length of a window, in seconds.
+        lines: All lines, ordered by time.
+        step_s: Length of a window, in seconds.
     """
     found: dict[int, Window] = {}
     for line in lines:
@@ -74,7 +75,7 @@
 
 
 def report(found: list[Window]) -> Iterator[str]:
-    """Yields a table with a bar for what was lost in each window."""
+    """Yields a table whose bars show the losses in each window."""
     max_lost = max((w.lost for w in found), default=0)
     yield f"{'from s':>7} {'ran':>5} {'lost':>5} {'left out':>8}"
     for window in found:
@@ -88,7 +89,7 @@
 
 
 def losses_by_node(lines: list[_explain.Line]) -> Iterator[str]:
-    """Yields how much was lost at each node, by reason and kind."""
+    """Yields the number of losses by node, reason and kind of request."""
     sums: collections.Counter[tuple[str, str, str]] = collections.Counter()
     for line in lines:
         if line.event == DONE_EVENT and line.fields["outcome"] != RAN:
@@ -100,8 +101,14 @@
 
 @click.command()
 @click.option("--step", default=2.0, help="Length of a window, in seconds.")
-@click.option("--since", default=0.0, help="Leave out what is before.")
-@click.option("--until", default=float("inf"), help="Leave out what is after.")
+@click.option(
+    "--since", default=0.0, help="Ignore lines before this time, in seconds."
+)
+@click.option(
+    "--until",
+    default=float("inf"),
+    help="Ignore lines from this time on, in seconds.",
+)
 @click.argument("files", nargs=-1, required=True)
 def losses(
     step: float, since: float, until: float, files: tuple[str, ...]
--- a/packages/ctl/src/ferry_ctl/_main.py
+++ b/packages/ctl/src/ferry_ctl/_main.py
@@ -1,6 +1,6 @@
 """The command `rosemaryferryctl`: contracts, status, demo and benchmarks.
 
-Adapters add commands of their own by entry points of the group `COMMANDS`.
+Adapters add commands through entry points of the group `COMMANDS`.
 """
 
 from collections.abc import Iterable
@@ -37,10 +37,10 @@
 def add_commands(
     group: click.Group, points: Iterable[importlib.metadata.EntryPoint]
 ) -> None:
-    """Adds the commands of adapters; one that can't be loaded is left out.
+    """Adds the commands of adapters; skips those that fail to load.
 
     Args:
-        group: Where to.
+        group: The group that receives the commands.
         points: The entry points of the commands.
     """
     for point in points:
--- a/packages/ctl/src/ferry_ctl/_report.py
+++ b/packages/ctl/src/ferry_ctl/_report.py
@@ -1,4 +1,4 @@
-"""The one JSON object that an experiment prints."""
+"""Reports of experiments, printed as JSON or as a table."""
 
 import json
 
@@ -11,13 +11,13 @@
 
 @attrs.frozen
 class Report:
-    """What an experiment found.
+    """Result of an experiment.
 
     Attributes:
-        experiment: Its name.
-        seed: Its seed.
-        figures: Numbers by name; the unit is in the name.
-        baselines: The same names for each baseline.
+        experiment: Name of the experiment.
+        seed: Seed of its random numbers.
+        figures: Measured values by name; the name contains the unit.
+        baselines: The corresponding figures of each baseline.
     """
 
     experiment: str
@@ -26,7 +26,7 @@
     baselines: dict[str, Figures] = attrs.field(factory=dict)
 
     def to_json(self) -> str:
-        """Returns the object as one line."""
+        """Returns the report as one line of JSON, with rounded figures."""
         fields = attrs.asdict(self)
         fields["figures"] = _rounded(self.figures)
         fields["baselines"] = {
@@ -57,7 +57,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Returns the value below which a share of all values lies; 0 if none."""
+    """Returns the quantile `share` of the values; 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -66,5 +66,5 @@
 
 
 def median(values: list[float]) -> float:
-    """Returns the median; 0 where there are no values."""
+    """Returns the median of the values; 0 if there are none."""
     return percentile(values, 0.5)
--- a/packages/ctl/src/ferry_ctl/_standins.py
+++ b/packages/ctl/src/ferry_ctl/_standins.py
@@ -1,7 +1,7 @@
-"""`rosemaryferryctl stand-ins`: a platform and databases to run nodes on.
+"""`rosemaryferryctl stand-ins`: a simulated platform with databases for nodes.
 
-The stand-ins run in this process; the nodes are processes of their own, which
-you start with the settings files that this command writes.
+The stand-ins run in this process. The nodes are separate processes, started by
+the user with the settings files that this command writes.
 """
 
 import json
@@ -16,11 +16,11 @@
 import ferry_standins as standins
 
 CUSTOMERS = {"lone-star": 20, "blue-mountain": 5}
-PASSWORD = "demo-password"  # noqa: S105 - of a stand-in on loopback
+PASSWORD = "demo-password"  # noqa: S105 - for stand-ins on loopback only
 
 
 def _free_ports(count: int) -> list[int]:
-    """Returns ports that are free now."""
+    """Returns ports on loopback that are free at the moment."""
     socks = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [sock.getsockname()[1] for sock in socks]
     for sock in socks:
@@ -55,9 +55,11 @@
     "directory",
     required=True,
     type=click.Path(file_okay=False),
-    help="Where the nodes' settings files go.",
+    help="Directory for the nodes' settings files.",
+)
+@click.option(
+    "--nodes", default=1, show_default=True, help="Nodes per data centre."
 )
-@click.option("--nodes", default=1, show_default=True, help="Per data centre.")
 def stand_ins(directory: str, nodes: int) -> None:
     """Runs the stand-ins until Ctrl-C or SIGTERM."""
     logging.set_verbosity(logging.ERROR)
@@ -82,7 +84,7 @@
 def _write_node(
     fleet: standins.Fleet, folder: pathlib.Path, name: str, centre: str
 ) -> None:
-    """Writes a node's settings and lists its VM."""
+    """Writes a node's settings file and adds its VM to the VM list."""
     ports = _free_ports(4)
     text = _settings_text(fleet, name, centre, ports)
     (folder / f"{name}.jsonc").write_text(text)
--- a/packages/ctl/src/ferry_ctl/_status.py
+++ b/packages/ctl/src/ferry_ctl/_status.py
@@ -1,4 +1,4 @@
-"""`rosemaryferryctl status`: nodes and databases at a glance."""
+"""`rosemaryferryctl status`: an overview of nodes and databases."""
 
 import typing
 
@@ -13,7 +13,7 @@
     "urls",
     multiple=True,
     required=True,
-    help="Administration URL of a node; repeat it for more nodes.",
+    help="Administration URL of a node; repeat for more nodes.",
 )
 def status(urls: tuple[str, ...]) -> None:
     """Shows the nodes of a data centre and the databases they serve."""
--- a/packages/ctl/src/ferry_ctl/route_analysis.py
+++ b/packages/ctl/src/ferry_ctl/route_analysis.py
@@ -1,9 +1,9 @@
-"""What a configuration's routes say, for people: pure functions.
+"""Pure functions that summarise and check the routes of a configuration.
 
-Answers configurations that have outgrown reading: thousands of routes, most
-of which differ in a name alone. The rule by which a caller's database gets
-its route is the proxy's own: its routes are kept by database, and of several
-for one database the last in the document counts.
+They serve operators whose configurations are too long to read: thousands of
+routes, most of which differ only in their names. A database is mapped to its
+route by the proxy's own rule: if several routes name the same database, the
+last one in the document applies.
 """
 
 import collections
@@ -14,12 +14,14 @@
 import ferry_proxy as proxy
 
 Draft = proxy.ConfigurationDraft
-MAX_SIMILAR_NAMES = 3  # Names that are shown where one is not found.
+
+# Similar names that are suggested for a database without a route.
+MAX_SIMILAR_NAMES = 3
 
 
 @attrs.frozen(slots=True)
 class RouteTerms:
-    """All that a route says but for its names: routes alike share them."""
+    """All settings of a route except its own and its database's name."""
 
     service: str
     consistency: str
@@ -43,11 +45,11 @@
 
 @attrs.frozen(slots=True)
 class RouteGroup:
-    """Routes that differ in their names alone.
+    """Routes that differ only in their names.
 
     Attributes:
-        terms: What they share.
-        databases: Their databases, in the document's order.
+        terms: The settings that they share.
+        databases: Their databases, in the order of the document.
     """
 
     terms: RouteTerms
@@ -56,13 +58,13 @@
 
 @attrs.frozen(slots=True)
 class RouteChoice:
-    """The route that a database gets.
+    """The route that applies to a database.
 
     Attributes:
-        route: The route; None where there is none.
-        passed_over: Others for the same database: the last one counts.
-        service: Its group; None where the configuration lacks it.
-        similar: Databases of a similar name, where there is no route.
+        route: The route; None if there is none.
+        passed_over: Earlier routes for the same database, which do not apply.
+        service: The route's service; None if the configuration lacks it.
+        similar: Databases with a similar name, if there is no route.
     """
 
     route: proxy.Route | None
@@ -73,11 +75,11 @@
 
 @attrs.frozen(slots=True)
 class Change:
-    """A database whose route is another one.
+    """A difference between two configurations in one database's route.
 
     Attributes:
-        before: Its route before; None for none.
-        after: Its route now; None for none.
+        before: The route in the old configuration; None if there is none.
+        after: The route in the new configuration; None if there is none.
     """
 
     before: proxy.Route | None
@@ -85,14 +87,14 @@
 
     @property
     def kind(self) -> str:
-        """What became of it, in one word."""
+        """Kind of the change: "gained", "lost" or "altered"."""
         if self.before is None:
             return "gained"
         return "lost" if self.after is None else "altered"
 
     @property
     def fields(self) -> tuple[str, ...]:
-        """The names of the fields that differ, of an altered one."""
+        """Names of the fields that differ; empty if a route is missing."""
         before, after = self.before, self.after
         if before is None or after is None:
             return ()
@@ -103,7 +105,7 @@
 
 
 def group_routes(routes: tuple[proxy.Route, ...]) -> list[RouteGroup]:
-    """Returns routes by their terms, the largest folds first."""
+    """Groups routes with equal terms; returns the largest groups first."""
     found: dict[RouteTerms, list[str]] = {}
     for route in routes:
         found.setdefault(RouteTerms.of(route), []).append(route.database)
@@ -112,19 +114,21 @@
 
 
 def find_route(draft: Draft, database: str) -> RouteChoice:
-    """Returns the route that callers of a database get, and why."""
+    """Returns the route that applies to a database, with its context."""
     matching = [r for r in draft.routes if r.database == database]
     if not matching:
         names = sorted({r.database for r in draft.routes})
-        similar = difflib.get_close_matches(database, names, MAX_SIMILAR_NAMES)
-        return RouteChoice(None, similar=tuple(similar))
+        close_names = difflib.get_close_matches(
+            database, names, MAX_SIMILAR_NAMES
+        )
+        return RouteChoice(None, similar=tuple(close_names))
     *passed_over, route = matching
     services = {s.name: s for s in draft.services}
     return RouteChoice(route, tuple(passed_over), services.get(route.service))
 
 
 def problems(draft: Draft) -> Iterator[str]:
-    """Yields everything that is wrong, or likely to be, each with its place."""
+    """Yields all actual and likely mistakes, each with its location."""
     yield from draft.mistakes
     services = {s.name for s in draft.services}
     counts = collections.Counter(r.database for r in draft.routes)
@@ -145,7 +149,7 @@
 
 
 def _time_problems(route: proxy.Route) -> Iterator[str]:
-    """Yields what is wrong with a route's times."""
+    """Yields the mistakes in a route's time limits."""
     if route.timeout_s <= 0:
         yield "its time limit is zero: every statement fails"
     elif route.timeout_s < route.target_s:
@@ -159,7 +163,7 @@
 
 
 def changes(before: Draft, after: Draft) -> list[Change]:
-    """Returns what a new configuration changes, by database."""
+    """Returns the changes between two configurations, sorted by database."""
     old = {r.database: r for r in before.routes}
     new = {r.database: r for r in after.routes}
     databases = sorted(old.keys() | new.keys())
--- a/packages/ctl/src/ferry_ctl/routes.py
+++ b/packages/ctl/src/ferry_ctl/routes.py
@@ -1,8 +1,8 @@
-"""`routes`: what the operators' configuration says, and what it lacks.
+"""`routes`: shows, checks and compares the routes of configurations.
 
-Works on a document that lies in a file; how it is read is the adapter's.
-Exit codes: 0, and 1 where a database has no route, a check finds something or
-two documents differ.
+The commands read a document from a file, and the adapter supplies its parser.
+The exit code is 1 if a database has no route, a check finds a mistake or two
+documents differ, and 0 otherwise.
 """
 
 from collections.abc import Callable
@@ -18,36 +18,45 @@
 from ferry_ctl import route_analysis
 
 Reader = Callable[[bytes], route_analysis.Draft]
-EXIT_FINDINGS = 1  # Exit code: something is missing, wrong or different.
-MAX_NAMES_SHOWN = 3  # Databases of a fold that its line names.
+
+# Exit code if something is missing, wrong or different.
+EXIT_FINDINGS = 1
+
+# Number of databases that the line of a group names.
+MAX_NAMES_SHOWN = 3
+
 MS_PER_S = 1000.0
 
 _DOCUMENT = click.Path(exists=True, dir_okay=False)
-_as_json = click.option("--json", "as_json", is_flag=True, help="For programs.")
+_as_json = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
 def group(read: Reader) -> click.Group:
-    """Returns the commands for one kind of document.
+    """Returns the commands for one document format.
 
     Args:
-        read: Reads a document. It raises `proxy.InvalidItemError` where the
-            bytes are no document at all.
+        read: Parses a document. It raises `proxy.InvalidItemError` if the bytes
+            are not a valid document.
     """
 
     @click.group()
     def routes() -> None:
-        """Reads a configuration: its routes, and what is wrong with them."""
+        """Shows and checks the routes of a configuration."""
 
     @routes.command("list")
     @click.argument("file", type=_DOCUMENT)
-    @click.option("--database", default="", help="Only names that hold this.")
+    @click.option(
+        "--database",
+        default="",
+        help="Only databases whose name contains this.",
+    )
     @click.option("--service", default="", help="Only this service.")
     @click.option("--kind", default="", help="Only this consistency.")
     @_as_json
     def list_routes(
         file: str, database: str, service: str, kind: str, as_json: bool
     ) -> None:
-        """Lists routes; those that differ in a name alone are one line."""
+        """Lists routes; those that differ only in their names share a line."""
         draft = _load(read, file)
         chosen = tuple(
             r
@@ -64,7 +73,7 @@
     @click.argument("database")
     @_as_json
     def which(file: str, database: str, as_json: bool) -> None:
-        """Tells which route the callers of a database get, and why."""
+        """Shows which route applies to a database, and why."""
         draft = _load(read, file)
         choice = route_analysis.find_route(draft, database)
         _show(_to_json(choice), _explanation(draft, database, choice), as_json)
@@ -74,7 +83,7 @@
     @click.argument("file", type=_DOCUMENT)
     @_as_json
     def check(file: str, as_json: bool) -> None:
-        """Names everything that is wrong, each with its place."""
+        """Lists all mistakes, each with its location."""
         found = list(route_analysis.problems(_load(read, file)))
         _show(found, iter(found or ["nothing is wrong"]), as_json)
         _exit_on(bool(found))
@@ -84,7 +93,7 @@
     @click.argument("after", type=_DOCUMENT)
     @_as_json
     def diff(before: str, after: str, as_json: bool) -> None:
-        """Tells which databases get another route, and what differs."""
+        """Shows which databases get another route, and what differs."""
         found = route_analysis.changes(_load(read, before), _load(read, after))
         rows = [{"kind": c.kind, **_to_json(c)} for c in found]
         _show(rows, _differences(found), as_json)
@@ -114,7 +123,7 @@
 
 
 def _to_json(value: attrs.AttrsInstance) -> dict[str, typing.Any]:
-    """Returns a value for JSON; a consistency is its word."""
+    """Returns a value for JSON, with each consistency as its name."""
 
     def serialize(_: object, __: object, field: typing.Any) -> typing.Any:
         if isinstance(field, proxy.Consistency):
