--- a/packages/ctl/src/ferry_ctl/tests/test_explain.py
+++ b/packages/ctl/src/ferry_ctl/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The stories that logs are joined into."""
+"""Tests the timelines that are merged from the logs of nodes."""
 
 import json
 
--- a/packages/ctl/src/ferry_ctl/tests/test_losses.py
+++ b/packages/ctl/src/ferry_ctl/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""What was not served, out of logs."""
+"""Tests the summary of unserved requests from logs."""
 
 import json
 
@@ -44,7 +44,7 @@
     assert second.reasons == {"overloaded": 1, "no_primary": 2}
 
 
-def test_bars_are_as_long_as_what_was_lost(log):
+def test_bars_are_proportional_to_losses(log):
     rows = list(_losses.report(_losses.windows(_explain.read((log,)), 2.0)))
     assert [r.count("#") for r in rows] == [0, 13, 40]
     assert "no_primary=2 overloaded=1" in rows[2]
--- a/packages/ctl/src/ferry_ctl/tests/test_routes.py
+++ b/packages/ctl/src/ferry_ctl/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""What people are told of a configuration's routes."""
+"""Tests the analysis of a configuration's routes and its commands."""
 
 import json
 
@@ -99,7 +99,7 @@
 
 
 def read(value: bytes) -> route_analysis.Draft:
-    """Reads a document of the test's own: how many lookups, and a version."""
+    """Parses the test's own format: a version and a number of lookup routes."""
     try:
         raw = json.loads(value)
     except ValueError as exc:
@@ -147,7 +147,7 @@
         (["list", "nowhere"], 2, "does not exist"),
     ],
 )
-def test_the_commands_answer_people(run, words, code, shown):
+def test_the_commands_print_text(run, words, code, shown):
     result = run(*words)
     assert result.exit_code == code
     assert shown in result.output
@@ -162,10 +162,10 @@
         (["diff", "small", "large"], MANY - 2),
     ],
 )
-def test_the_commands_answer_programs(run, words, expected):
+def test_the_commands_print_json(run, words, expected):
     assert len(json.loads(run(*words, "--json").output)) == expected
 
 
 def test_ten_thousand_routes_are_one_page(run):
-    """11 lines at most, where the document has 10,002 routes."""
+    """A document of 10,002 routes is listed in at most 10 lines."""
     assert len(run("list", "large").output.splitlines()) < 11
--- a/tools/bench_idle.sh
+++ b/tools/bench_idle.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Measures a node's memory for each idle caller.
+# Measures the memory of a node per idle caller.
 set -euo pipefail
 source "$(dirname "$0")/fleet.sh"
 "$bin/rosemaryferryctl" bench idle --through "$through" --pid "$through_pid" "$@"
--- a/tools/check_style.py
+++ b/tools/check_style.py
@@ -1,6 +1,7 @@
-"""Holds the parts of the house style that the linter has no rule for.
+"""Checks the rules of the code style for which the linter has no rule.
 
-Usage: check_style.py. Prints one line a finding; exits 1 where there is any.
+Usage: check_style.py. Prints one line per finding and exits with 1 if there
+are any.
 """
 
 import ast
@@ -21,19 +22,19 @@
 
 
 def is_test(path: pathlib.Path) -> bool:
-    """Whether a file is a test."""
+    """Returns whether a file belongs to the tests."""
     return "tests" in path.parts
 
 
 def module_names() -> frozenset[str]:
-    """Returns the names of all modules of the workspace."""
+    """Returns the names of all modules in the workspace."""
     return frozenset(p.stem for p in ROOT.glob("packages/*/src/**/*.py"))
 
 
 def import_findings(
     path: pathlib.Path, tree: ast.Module, modules: frozenset[str]
 ) -> Iterator[str]:
-    """Yields what is wrong with a file's imports."""
+    """Yields the violations in a file's imports."""
     package = path.relative_to(ROOT / "packages").parts[2]
     for node in ast.walk(tree):
         found: list[str] = []
@@ -60,7 +61,7 @@
 
 
 def findings() -> Iterator[str]:
-    """Yields all findings of the workspace."""
+    """Yields all findings in the workspace."""
     modules = module_names()
     for path in sorted(ROOT.glob("packages/*/src/**/*.py")):
         text = path.read_text()
@@ -75,7 +76,7 @@
 
 
 def main() -> int:
-    """Prints all findings."""
+    """Prints all findings and returns the exit code."""
     found = list(findings())
     for line in found:
         print(line)
--- a/tools/fleet.sh
+++ b/tools/fleet.sh
@@ -1,5 +1,5 @@
-# Sourced by the benchmark scripts: runs stand-ins and three nodes as processes
-# of their own, and ends what it started.
+# Sourced by the benchmark scripts: starts the stand-ins and three nodes as
+# separate processes and stops them when the script exits.
 cd "$(dirname "${BASH_SOURCE[0]}")/.."
 bin=${VENV:-.venv}/bin
 dir=$(mktemp -d)
--- a/tools/gen_exports.py
+++ b/tools/gen_exports.py
@@ -1,9 +1,9 @@
-"""Writes the `__init__.py` of the decisions package: its public names.
+"""Generates the `__init__.py` of the decisions package from its public names.
 
-Usage: gen_exports.py PACKAGE_DIR ALIAS. A name is exported when another
-package or a test uses it through the alias, so that the surface stays small.
-The docstring of the file is kept. A module is loaded when one of its names is
-first used: a node on the platform needs a third of them.
+Usage: gen_exports.py PACKAGE_DIR ALIAS. A name is exported only if another
+package or a test uses it through the alias, which keeps the interface small.
+The docstring of the file is preserved. Each module is loaded when one of its
+names is first used, because a node on the platform needs a third of them.
 """
 
 import ast
@@ -18,7 +18,7 @@
 
 
 def public_names(path: pathlib.Path) -> list[str]:
-    """Returns the public names that a module defines, sorted."""
+    """Returns the sorted public names that a module defines."""
     names = set()
     for node in ast.parse(path.read_text()).body:
         if isinstance(node, ast.ClassDef | ast.FunctionDef):
@@ -32,7 +32,7 @@
 
 
 def used_names(package: pathlib.Path, alias: str) -> set[str]:
-    """Returns the names that others use through the alias."""
+    """Returns the names that code outside the package uses by the alias."""
     pattern = re.compile(rf"\b{alias}\.(\w+)")
     used: set[str] = set()
     packages = package.parents[2]
@@ -44,13 +44,13 @@
     return used
 
 
-def surface(package: str, doc: str, owners: dict[str, str]) -> list[str]:
+def init_lines(package: str, doc: str, owners: dict[str, str]) -> list[str]:
     """Returns the lines of a package's `__init__.py`.
 
     Args:
-        package: The package's name.
-        doc: Its doc comment.
-        owners: The module of each public name.
+        package: Name of the package.
+        doc: Docstring of the package.
+        owners: Module that defines each public name.
     """
     by_module = sorted(owners.items(), key=lambda i: (i[1], i[0]))
     return [
@@ -75,14 +75,14 @@
 
 
 def _rows(by_module: list[tuple[str, str]]) -> Iterator[str]:
-    """Yields one entry a module: its public names."""
+    """Yields one entry per module, which holds its public names."""
     for module, owned in itertools.groupby(by_module, lambda i: i[1]):
         names = " ".join(name for name, _ in owned)
         yield f'    "{module}": "{names}".split(),'
 
 
 def main() -> None:
-    """Rewrites one `__init__.py`."""
+    """Rewrites the `__init__.py` of the given package."""
     package = pathlib.Path(sys.argv[1]).resolve()
     used = used_names(package, sys.argv[2])
     init = package / "__init__.py"
@@ -93,7 +93,7 @@
             for name in public_names(path):
                 if name in used:
                     owners.setdefault(name, path.stem)
-    init.write_text("\n".join(surface(package.name, doc, owners)))
+    init.write_text("\n".join(init_lines(package.name, doc, owners)))
 
 
 if __name__ == "__main__":
