--- a/packages/ctl/src/ferry_ctl/_bench_capacity.py
+++ b/packages/ctl/src/ferry_ctl/_bench_capacity.py
@@ -22,19 +22,19 @@
 # The fleet of the design size.
 NODES = 410
 DATABASES = 740
-MEMBERS = 3
+MEMBERS_PER_DATABASE = 3
 CUSTOMERS = 740
 CALLERS = 3_400_000
 STATEMENTS_PER_S = 150_000
 CHANGES_PER_DAY = 730
 DAY_S = 86_400
-SERVICES = DATABASES * MEMBERS / NODES
+SERVICES_PER_NODE = DATABASES * MEMBERS_PER_DATABASE / NODES
 PROBE_INTERVAL_S = 1.0
 SILENCE_S = 2.2
 WATCH_RUN_S = 10.0
 FAILOVER_RUNS = 6
 TCP_OVERHEAD_BYTES = 80  # Added to the payload of each message.
-TICKS = 50
+MEASURED_TICKS = 50
 TICKS_PER_S = 1 / 0.3  # Peers are pinged every 0.3 s.
 STREAM_SIZES = (50, 150, 400)
 
@@ -240,9 +240,9 @@
     size = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     began = time.process_time()
-    for _ in range(TICKS):
+    for _ in range(MEASURED_TICKS):
         here.tick()
-    tick_s = (time.process_time() - began) / TICKS
+    tick_s = (time.process_time() - began) / MEASURED_TICKS
     here.close()
     loop.close()
     return float(size), tick_s
@@ -275,13 +275,13 @@
     )
     figures["peer_streams_mb_per_node"] = stream.at(NODES) / 1e6
     asked, answered = _probe_bytes()
-    probes_per_s = SERVICES * MEMBERS / PROBE_INTERVAL_S
+    probes_per_s = SERVICES_PER_NODE * MEMBERS_PER_DATABASE / PROBE_INTERVAL_S
     figures["probe_bytes_asked"] = asked
     figures["probe_bytes_answered"] = answered
-    figures["services_per_node"] = SERVICES
+    figures["services_per_node"] = SERVICES_PER_NODE
     figures["probes_per_s_per_node"] = probes_per_s
     figures["control_core_per_node"] = (
-        watch.at(SERVICES)
+        watch.at(SERVICES_PER_NODE)
         + probe.slope * probes_per_s
         + member_core.at(NODES)
         + tick.at(NODES) * TICKS_PER_S
--- a/packages/ctl/src/ferry_ctl/_bench_failover.py
+++ b/packages/ctl/src/ferry_ctl/_bench_failover.py
@@ -10,11 +10,11 @@
 WARM_UP_S = 1.2
 MAX_RUN_S = 9.0
 STORE_OUTAGE_S = 2.0
-WRITE_EVERY_S = 0.025
+REQUEST_INTERVAL_S = 0.025
 READ_SHARE = 0.3
-ORDER_TIMEOUT_S = 8.0
+REQUEST_TIMEOUT_S = 8.0
 SLOWDOWN_S = 3.0
-FLAP_DOWN_UP_S = (0.5, 0.3)
+FLAP_DOWN_UP_S = (0.5, 0.3)  # Time isolated, then time reachable.
 
 # Recovery is shown by a write that began this long after the fault and ran.
 RECOVERY_CHECK_DELAY_S = 0.3
@@ -56,7 +56,7 @@
             name = f"clerk-{index}"
             self._fixed_nodes[name] = fixed_node
             self._sessions.append(
-                standins.LabSession(lab, name, timeout_s=ORDER_TIMEOUT_S)
+                standins.LabSession(lab, name, timeout_s=REQUEST_TIMEOUT_S)
             )
         self._busy: set[str] = set()
 
@@ -84,19 +84,19 @@
     lab.timers.advance(WARM_UP_S + lab.random.uniform(0.0, 0.3))
     writers = _Writers(lab)
     _run_for(lab, writers, 0.4 + lab.random.uniform(0.0, 0.2))
-    old = lab.primary().name
+    old_primary = lab.primary().name
     began = lab.timers.now()
     if store_down:
         lab.store.down = True
         lab.timers.after(STORE_OUTAGE_S, lambda: _restore_store(lab))
-    _inject(lab, kind, old)
+    _inject(lab, kind, old_primary)
     while lab.timers.now() - began < MAX_RUN_S:
         _run_for(lab, writers, 0.2)
         if kind in ("slow", "flapping"):
             continue
         if _acks_after(lab, began + RECOVERY_CHECK_DELAY_S):
             break
-    _heal(lab, old, kind)
+    _heal(lab, old_primary, kind)
     acks = [
         op.ended
         for op in lab.operations
@@ -124,7 +124,7 @@
     end = lab.timers.now() + seconds
     while lab.timers.now() < end:
         writers.step()
-        lab.timers.advance(WRITE_EVERY_S)
+        lab.timers.advance(REQUEST_INTERVAL_S)
 
 
 def _acks_after(lab: standins.Lab, since: float) -> bool:
@@ -134,44 +134,44 @@
     )
 
 
-def _inject(lab: standins.Lab, kind: str, old: str) -> None:
-    member = lab.members[old]
+def _inject(lab: standins.Lab, kind: str, old_primary: str) -> None:
+    member = lab.members[old_primary]
     centre = member.described.data_centre
     match kind:
         case "crash":
-            lab.crash(old)
+            lab.crash(old_primary)
         case "isolated":
-            lab.isolate(old)
+            lab.isolate(old_primary)
         case "silent":
             member.silent = True
-            lab.group.set_down(old, True)
+            lab.group.set_down(old_primary, True)
         case "slow":
             member.slow_s = 0.9
             lab.timers.after(SLOWDOWN_S, lambda: setattr(member, "slow_s", 0.0))
         case "flapping":
-            _flap(lab, old, 4)
+            _flap(lab, old_primary, 4)
         case "centre_cut":
             lab.cut_centre(centre)
 
 
-def _flap(lab: standins.Lab, old: str, times: int) -> None:
+def _flap(lab: standins.Lab, old_primary: str, times: int) -> None:
     """Isolates a member repeatedly, too briefly for it to be replaced."""
     if not times:
         return
     down, up = FLAP_DOWN_UP_S
-    lab.isolate(old)
-    lab.timers.after(down, lambda: lab.heal(old))
-    lab.timers.after(down + up, lambda: _flap(lab, old, times - 1))
+    lab.isolate(old_primary)
+    lab.timers.after(down, lambda: lab.heal(old_primary))
+    lab.timers.after(down + up, lambda: _flap(lab, old_primary, times - 1))
 
 
-def _heal(lab: standins.Lab, old: str, kind: str) -> None:
+def _heal(lab: standins.Lab, old_primary: str, kind: str) -> None:
     """Ends the fault and lets the old primary rejoin."""
     lab.store.down = False
-    lab.members[old].silent = False
-    lab.restart(old)
-    lab.heal(old)
+    lab.members[old_primary].silent = False
+    lab.restart(old_primary)
+    lab.heal(old_primary)
     if kind == "centre_cut":
-        lab.heal_centre(lab.members[old].described.data_centre)
+        lab.heal_centre(lab.members[old_primary].described.data_centre)
     lab.sync_records()
     lab.timers.advance(2.0)
 
--- a/packages/ctl/src/ferry_ctl/_bench_fairness.py
+++ b/packages/ctl/src/ferry_ctl/_bench_fairness.py
@@ -103,13 +103,13 @@
     """A simulation of one scenario under one admission policy."""
 
     def __init__(
-        self, scenario: Scenario, order: str, seed: int, alone: str = ""
+        self, scenario: Scenario, policy: str, seed: int, alone: str = ""
     ) -> None:
         self.scenario = scenario
         self.timers = decisions.VirtualTimers()
         self.rng = random.Random(seed)
         self.queue = decisions.AdmissionQueue(
-            self.timers, SLOTS, decisions.ADMISSION_POLICIES.get(order)()
+            self.timers, SLOTS, decisions.ADMISSION_POLICIES.get(policy)()
         )
         self.served: dict[str, CustomerResult] = {}
         self.busy_s = 0.0
@@ -191,23 +191,23 @@
 
 
 def _p99_alone(
-    scenario: Scenario, customer: str, order: str, seed: int
+    scenario: Scenario, customer: str, policy: str, seed: int
 ) -> float:
-    run = _Run(scenario, order, seed, alone=customer)
+    run = _Run(scenario, policy, seed, alone=customer)
     run.run()
     return _report.percentile(run.served[customer].waits, 0.99)
 
 
 def _scenario_figures(
-    scenario: Scenario, order: str, seed: int
+    scenario: Scenario, policy: str, seed: int
 ) -> _report.Figures:
-    run = _Run(scenario, order, seed)
+    run = _Run(scenario, policy, seed)
     run.run()
     errors = []
     ratios = []
     p99s = []
     below_share = [d for d in scenario.demands if d.load <= 1.0]
-    alone = _p99_alone(scenario, below_share[0].customer, order, seed)
+    alone = _p99_alone(scenario, below_share[0].customer, policy, seed)
     for demand in below_share:
         served = run.served[demand.customer]
         errors.append(abs(1.0 - served.received_s / served.requested_s))
@@ -224,10 +224,10 @@
     }
 
 
-def _figures(order: str, seed: int) -> _report.Figures:
+def _figures(policy: str, seed: int) -> _report.Figures:
     figures: _report.Figures = {}
     for scenario in SCENARIOS:
-        figures.update(_scenario_figures(scenario, order, seed))
+        figures.update(_scenario_figures(scenario, policy, seed))
     for name, choose in (
         ("share_error_worst", max),
         ("p99_wait_ratio", max),
--- a/packages/ctl/src/ferry_ctl/_bench_overload.py
+++ b/packages/ctl/src/ferry_ctl/_bench_overload.py
@@ -55,14 +55,14 @@
     end = lab.timers.now() + RUN_S
     begun = lab.timers.now()
     in_flight = 0
-    peak = 0
+    largest = 0
     sent = 0
     while lab.timers.now() < end:
         lab.timers.advance(lab.random.expovariate(load * capacity))
         session = standins.LabSession(lab, f"s{sent}", timeout_s=TIMEOUT_S)
         sent += 1
         in_flight += 1
-        peak = max(peak, in_flight)
+        largest = max(largest, in_flight)
         fut = session.write(lab.random.choice(nodes))
 
         def done(_: object) -> None:
@@ -82,7 +82,7 @@
     return LoadResult(
         goodput=len(counted) / (RUN_S - 1.0),
         refusal_s=_report.median(refused),
-        max_in_flight=peak,
+        max_in_flight=largest,
         violations=lab.verdict().total,
         runs_per_request=len(lab.stored()) / max(1, sent),
     )
--- a/packages/ctl/src/ferry_ctl/_bench_path.py
+++ b/packages/ctl/src/ferry_ctl/_bench_path.py
@@ -17,7 +17,7 @@
 LATENCY_STATEMENTS = 3_000
 THROUGHPUT_S = 4.0
 CLIENTS = 8
-PIPELINE = 50
+PIPELINE_DEPTH = 50
 SQL = "SELECT 1"
 STARTUP_TIMEOUT_S = 20.0
 
@@ -48,9 +48,9 @@
         if token:
             _keep_session_token(conn)
         for _ in range(LATENCY_STATEMENTS):
-            begun = time.perf_counter()
+            started_at = time.perf_counter()
             conn.execute(SQL).fetchone()
-            times.append(time.perf_counter() - begun)
+            times.append(time.perf_counter() - started_at)
     return _report.median(times)
 
 
@@ -82,14 +82,14 @@
 
 def _throughput(target: Target, pipeline: int) -> float:
     """Returns statements per second with `CLIENTS` concurrent clients."""
-    begun = time.perf_counter()
-    end = begun + THROUGHPUT_S
+    started_at = time.perf_counter()
+    end = started_at + THROUGHPUT_S
     with concurrent.futures.ThreadPoolExecutor(CLIENTS) as pool:
         futs = [
             pool.submit(_client, target, end, pipeline) for _ in range(CLIENTS)
         ]
         done = sum(f.result() for f in futs)
-    return done / (time.perf_counter() - begun)
+    return done / (time.perf_counter() - started_at)
 
 
 def wait_until_ready(target: Target) -> None:
@@ -116,23 +116,23 @@
         wait_until_ready(target)
     before = _latency(direct, token=False)
     with_token = _latency(through, token=True)
-    without = _latency(through, token=False)
+    without_token = _latency(through, token=False)
     after = _latency(direct, token=False)
     direct_latency = min(before, after)
     cpu = _processes.processor_seconds(pid)
     rate = _throughput(through, 1)
     cpu = _processes.processor_seconds(pid) - cpu
-    pipelined = _throughput(through, PIPELINE)
+    pipelined = _throughput(through, PIPELINE_DEPTH)
     direct_rate = _throughput(direct, 1)
-    direct_pipelined = _throughput(direct, PIPELINE)
+    direct_pipelined = _throughput(direct, PIPELINE_DEPTH)
     return _report.Report(
         "path",
         0,
         {
             "latency_median_s": with_token,
-            "latency_no_token_median_s": without,
+            "latency_no_token_median_s": without_token,
             "latency_ratio": with_token / direct_latency,
-            "latency_no_token_ratio": without / direct_latency,
+            "latency_no_token_ratio": without_token / direct_latency,
             "noise_ratio": max(before, after) / direct_latency,
             "statements_per_s": rate,
             "statements_per_s_pipelined": pipelined,
--- a/packages/runtime/src/ferry_runtime/_loop.py
+++ b/packages/runtime/src/ferry_runtime/_loop.py
@@ -53,7 +53,7 @@
         return time.monotonic()
 
     def boot_now(self) -> float:
-        """Returns seconds since boot, also while the VM was suspended."""
+        """Returns seconds since boot, including time spent suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def after(
--- a/packages/runtime/src/ferry_runtime/_values.py
+++ b/packages/runtime/src/ferry_runtime/_values.py
@@ -78,8 +78,8 @@
         except (msgpack.UnpackException, ValueError, TypeError) as exc:
             self._unpacker = None  # Its invalid content rules out any reuse.
             raise InvalidMessageError(repr(exc)) from exc
-        # An unpacker's offset also advances within an incomplete value, so it
-        # takes the end of the last complete one to tell if anything remains.
+        # An unpacker's offset also advances within an incomplete value. Only
+        # the offset after the last complete value shows if a part remains.
         is_empty = self._fed_offset == self._complete_offset
         self._unpacker = None if is_empty else unpacker
         if is_empty:
--- a/packages/runtime/src/ferry_runtime/tests/test_http.py
+++ b/packages/runtime/src/ferry_runtime/tests/test_http.py
@@ -8,12 +8,12 @@
 import ferry_runtime as runtime
 
 # A safety net that ends a test which would otherwise hang.
-LIMIT_S = 10.0
+TIMEOUT_S = 10.0
 
 
-def finish(loop, fut):
-    """Runs the loop until `fut` is done or `LIMIT_S` has passed."""
-    end = time.monotonic() + LIMIT_S
+def run_until_done(loop, fut):
+    """Runs the loop until `fut` is done or `TIMEOUT_S` has passed."""
+    end = time.monotonic() + TIMEOUT_S
     while not fut.done() and time.monotonic() < end:
         loop.step()
     return fut
@@ -40,7 +40,9 @@
 
     client = serve(loop, handler)
     for method, body in (("GET", b""), ("POST", b"data"), ("GET", b"")):
-        fut = finish(loop, client.call(method, "/a?b=1", LIMIT_S, body=body))
+        fut = run_until_done(
+            loop, client.call(method, "/a?b=1", TIMEOUT_S, body=body)
+        )
         assert fut.result() == runtime.HttpReply(200, b"hello")
     assert seen[1] == ("POST", "/a", "b=1", b"data")
     assert len(client._idle) == 1
@@ -51,7 +53,7 @@
         return runtime.HttpReply(503, b"", {"Store-Era": "7"})
 
     client = serve(loop, handler)
-    reply = finish(loop, client.call("GET", "/", LIMIT_S)).result()
+    reply = run_until_done(loop, client.call("GET", "/", TIMEOUT_S)).result()
     assert (reply.status, reply.headers["store-era"]) == (503, "7")
 
 
@@ -59,10 +61,10 @@
     late: decisions.Future[runtime.HttpReply] = decisions.Future()
     replies = iter([late, runtime.HttpReply(200, b"second")])
     client = serve(loop, lambda _: next(replies))
-    fut = finish(loop, client.call("GET", "/", 0.02))
+    fut = run_until_done(loop, client.call("GET", "/", 0.02))
     assert isinstance(fut.exception(), runtime.HttpCallFailedError)
     late.set_result(runtime.HttpReply(200, b"first"))
-    fut = finish(loop, client.call("GET", "/", LIMIT_S))
+    fut = run_until_done(loop, client.call("GET", "/", TIMEOUT_S))
     assert fut.result().body == b"second"
 
 
@@ -79,7 +81,7 @@
 
     listener = runtime.Listener(loop, "127.0.0.1", 0, accept)
     client = runtime.HttpClient(loop, "127.0.0.1", listener.port)
-    fut = finish(loop, client.call("GET", "/", LIMIT_S))
+    fut = run_until_done(loop, client.call("GET", "/", TIMEOUT_S))
     assert isinstance(fut.exception(), runtime.HttpCallFailedError)
 
 
@@ -87,7 +89,7 @@
     listener = runtime.Listener(loop, "127.0.0.1", 0, lambda _: None)
     listener.close()
     client = runtime.HttpClient(loop, "127.0.0.1", listener.port)
-    fut = finish(loop, client.call("GET", "/", LIMIT_S))
+    fut = run_until_done(loop, client.call("GET", "/", TIMEOUT_S))
     assert isinstance(fut.exception(), runtime.HttpCallFailedError)
 
 
@@ -106,7 +108,7 @@
 
     listener = runtime.Listener(loop, "127.0.0.1", 0, accept)
     client = runtime.HttpClient(loop, "127.0.0.1", listener.port)
-    fut = finish(loop, client.call("GET", "/", 0.05))
+    fut = run_until_done(loop, client.call("GET", "/", 0.05))
     if is_whole:
         assert fut.result().body == body
     else:
--- a/packages/runtime/src/ferry_runtime/tests/test_tls.py
+++ b/packages/runtime/src/ferry_runtime/tests/test_tls.py
@@ -11,7 +11,7 @@
 
 CERTIFICATE = pathlib.Path(__file__).parent / "data" / "server.pem"
 HOST = "127.0.0.1"
-LIMIT_S = 10.0
+TIMEOUT_S = 10.0
 
 
 class EchoServer:
@@ -35,20 +35,20 @@
 
     def stop(self) -> None:
         self.loop.stop()
-        self.thread.join(LIMIT_S)
+        self.thread.join(TIMEOUT_S)
         self.loop.close()
 
 
 @pytest.fixture
 def server() -> Iterator[EchoServer]:
-    made = EchoServer()
-    yield made
-    made.stop()
+    echo_server = EchoServer()
+    yield echo_server
+    echo_server.stop()
 
 
 def connect(server: EchoServer) -> ssl.SSLSocket:
     context = ssl.create_default_context(cafile=str(CERTIFICATE))
-    raw = socket.create_connection((HOST, server.port), LIMIT_S)
+    raw = socket.create_connection((HOST, server.port), TIMEOUT_S)
     return context.wrap_socket(raw, server_hostname="localhost")
 
 
@@ -67,9 +67,9 @@
 
 
 def test_a_caller_without_tls_is_closed_and_others_go_on(server):
-    plain = socket.create_connection((HOST, server.port), LIMIT_S)
+    plain = socket.create_connection((HOST, server.port), TIMEOUT_S)
     plain.sendall(b"START orders u1\r\n" * 20)
-    plain.settimeout(LIMIT_S)
+    plain.settimeout(TIMEOUT_S)
     while True:
         try:
             if not plain.recv(4096):
--- a/tools/check_style.py
+++ b/tools/check_style.py
@@ -14,11 +14,11 @@
 BANNED = frozenset(
     {"asyncio", "multiprocessing", "subprocess", "mmap", "dataclasses"}
 )
-NAMES_MAY_BE_IMPORTED = frozenset({"typing", "collections.abc"})
+NAME_IMPORTS_ALLOWED = frozenset({"typing", "collections.abc"})
 CODEC = "pygwire"
 CODEC_MODULE = "_wire.py"
 STANDINS = "ferry_standins"
-MAY_USE_STANDINS = frozenset({"ferry_ctl", "ferry_standins"})
+STANDIN_USERS = frozenset({"ferry_ctl", "ferry_standins"})
 
 
 def is_test(path: pathlib.Path) -> bool:
@@ -37,26 +37,28 @@
     """Yields the violations in a file's imports."""
     package = path.relative_to(ROOT / "packages").parts[2]
     for node in ast.walk(tree):
-        found: list[str] = []
+        imported: list[str] = []
         if isinstance(node, ast.Import):
-            found = [a.name for a in node.names]
+            imported = [a.name for a in node.names]
         elif isinstance(node, ast.ImportFrom):
-            found = [node.module or ""]
-            own = (node.module or "").startswith("ferry_")
-            allowed = node.module in NAMES_MAY_BE_IMPORTED
+            imported = [node.module or ""]
+            is_own_package = (node.module or "").startswith("ferry_")
+            allowed = node.module in NAME_IMPORTS_ALLOWED
             for alias in node.names:
                 is_module = alias.name in modules or alias.name == "tests"
-                capital = alias.name[:1].isupper()
-                if not allowed and ((own and not is_module) or capital):
+                is_class_name = alias.name[:1].isupper()
+                if not allowed and (
+                    (is_own_package and not is_module) or is_class_name
+                ):
                     yield f"{path}:{node.lineno} imports the name {alias.name}"
-        for name in found:
+        for name in imported:
             top = name.split(".")[0]
             if top in BANNED:
                 yield f"{path}: imports {top}"
             if top == CODEC and path.name != CODEC_MODULE:
                 yield f"{path}: only {CODEC_MODULE} may use {CODEC}"
-            shipped = package not in MAY_USE_STANDINS and not is_test(path)
-            if top == STANDINS and shipped:
+            is_shipped = package not in STANDIN_USERS and not is_test(path)
+            if top == STANDINS and is_shipped:
                 yield f"{path}: shipped code uses the stand-ins"
 
 
