--- a/packages/node/src/ferry_node/_contracts_api.py
+++ b/packages/node/src/ferry_node/_contracts_api.py
@@ -90,7 +90,7 @@
         try:
             return fut.result(WAIT_S)
         except decisions.UnknownCustomerError as exc:
-            if not self._node.spreader.is_current:
+            if not self._node.directory_sync.is_current:
                 raise ApiError(
                     503, "outdated", "contracts may be outdated here"
                 ) from exc
@@ -161,7 +161,7 @@
         wanted = _wanted(customer, body, current, change, change_id)
         value = json.dumps(decisions.unstructure(wanted)).encode()
         written = yield from self._write(key, value, revision, change_id)
-        self._node.spreader.publish([written])
+        self._node.directory_sync.publish([written])
         yield from self._audit(wanted)
         return wanted
 
--- a/packages/standins/src/ferry_standins/_fleet.py
+++ b/packages/standins/src/ferry_standins/_fleet.py
@@ -22,7 +22,7 @@
 
 ADMIN_TOKEN = "demo-token"  # noqa: S105 - of a stand-in on loopback
 
-KILL_WAIT_S = 10.0  # Bounds a run that hangs.
+KILL_TIMEOUT_S = 10.0  # Bounds a run that hangs.
 
 
 @attrs.frozen(slots=True)
@@ -110,7 +110,7 @@
         """
         found = self.nodes.pop(name)
         closed = runtime.submit_to_loop(found.loop, lambda: _closed(found))
-        closed.result(KILL_WAIT_S)
+        closed.result(KILL_TIMEOUT_S)
         found.loop.stop()
 
     def stop_node(self, name: str) -> "concurrent.futures.Future[int]":
