--- a/packages/ctl/src/ferry_ctl/_bench_failover.py
+++ b/packages/ctl/src/ferry_ctl/_bench_failover.py
@@ -1,4 +1,4 @@
-"""How long no order is acknowledged when a primary goes."""
+"""Time without acknowledged writes after the failure of a primary."""
 
 import attrs
 import ferry_decisions as decisions
@@ -10,24 +10,26 @@
 WARM_UP_S = 1.2
 MAX_RUN_S = 9.0
 STORE_OUTAGE_S = 2.0
-WRITE_EVERY_S = 0.025
+REQUEST_INTERVAL_S = 0.025
 READ_SHARE = 0.3
-ORDER_TIMEOUT_S = 8.0
-SLOW_S = 3.0
-FLAP_S = (0.5, 0.3)
-GAP_COUNTS_S = 0.3
+REQUEST_TIMEOUT_S = 8.0
+SLOWDOWN_S = 3.0
+FLAP_DOWN_UP_S = (0.5, 0.3)  # Time isolated, then time reachable.
+
+# Recovery is shown by a write that began this long after the fault and ran.
+RECOVERY_CHECK_DELAY_S = 0.3
 
 
 @attrs.frozen
 class GapResult:
-    """What one fault did.
+    """Effects of one fault.
 
     Attributes:
-        gap_s: Longest time without an acknowledged order, in seconds.
-        violations: Broken promises.
-        unknown: Orders whose outcome was not known.
+        gap_s: Longest time without an acknowledged write, in seconds.
+        violations: Violations of the consistency guarantees.
+        unknown: Requests whose outcome is unknown.
         promotions: Changes of primary.
-        recovered: Whether orders went on before the end of the run.
+        recovered: Whether a write was acknowledged after the fault.
     """
 
     gap_s: float
@@ -38,35 +40,35 @@
 
 
 class _Writers:
-    """Sessions that place orders all the time.
+    """Sessions that send requests continuously.
 
-    Some stay with one node, as a caller behind the balancer does, and some
-    move to another node with each request.
+    Some sessions use one node, as a caller behind the load balancer does, and
+    others pick a random node for each request.
     """
 
     def __init__(self, lab: standins.Lab) -> None:
         self._lab = lab
         self._nodes = list(lab.nodes_by_name.values())
-        self._homes: dict[str, standins.LabNode | None] = {}
+        self._fixed_nodes: dict[str, standins.LabNode | None] = {}
         self._sessions: list[standins.LabSession] = []
-        homes = [*self._nodes, *self._nodes, None, None]
-        for index, home in enumerate(homes):
+        fixed_nodes = [*self._nodes, *self._nodes, None, None]
+        for index, fixed_node in enumerate(fixed_nodes):
             name = f"clerk-{index}"
-            self._homes[name] = home
+            self._fixed_nodes[name] = fixed_node
             self._sessions.append(
-                standins.LabSession(lab, name, timeout_s=ORDER_TIMEOUT_S)
+                standins.LabSession(lab, name, timeout_s=REQUEST_TIMEOUT_S)
             )
         self._busy: set[str] = set()
 
     def step(self) -> None:
-        """Lets each session that is not waiting send a request."""
+        """Sends a request from each session that is not awaiting a reply."""
         for session in self._sessions:
             if session.name not in self._busy:
                 self._send(session)
 
     def _send(self, session: standins.LabSession) -> None:
         rng = self._lab.random
-        node = self._homes[session.name] or rng.choice(self._nodes)
+        node = self._fixed_nodes[session.name] or rng.choice(self._nodes)
         is_read = rng.random() < READ_SHARE
         fut = session.read(node) if is_read else session.write(node)
         if not fut.done():
@@ -77,24 +79,24 @@
 def run_fault(
     kind: str, seed: int, store_down: bool, plan: standins.LabPlan
 ) -> GapResult:
-    """Runs one fault and returns what it did."""
+    """Injects one fault and returns its effects."""
     lab = standins.Lab(plan, seed)
     lab.timers.advance(WARM_UP_S + lab.random.uniform(0.0, 0.3))
     writers = _Writers(lab)
     _run_for(lab, writers, 0.4 + lab.random.uniform(0.0, 0.2))
-    old = lab.primary().name
+    old_primary = lab.primary().name
     began = lab.timers.now()
     if store_down:
         lab.store.down = True
-        lab.timers.after(STORE_OUTAGE_S, lambda: _store_up(lab))
-    _inject(lab, kind, old)
+        lab.timers.after(STORE_OUTAGE_S, lambda: _restore_store(lab))
+    _inject(lab, kind, old_primary)
     while lab.timers.now() - began < MAX_RUN_S:
         _run_for(lab, writers, 0.2)
         if kind in ("slow", "flapping"):
             continue
-        if _acks_after(lab, began + GAP_COUNTS_S):
+        if _acks_after(lab, began + RECOVERY_CHECK_DELAY_S):
             break
-    _settle(lab, old, kind)
+    _heal(lab, old_primary, kind)
     acks = [
         op.ended
         for op in lab.operations
@@ -114,7 +116,7 @@
     )
 
 
-def _store_up(lab: standins.Lab) -> None:
+def _restore_store(lab: standins.Lab) -> None:
     lab.store.down = False
 
 
@@ -122,65 +124,63 @@
     end = lab.timers.now() + seconds
     while lab.timers.now() < end:
         writers.step()
-        lab.timers.advance(WRITE_EVERY_S)
+        lab.timers.advance(REQUEST_INTERVAL_S)
 
 
-def _acks_after(lab: standins.Lab, moment: float) -> bool:
+def _acks_after(lab: standins.Lab, since: float) -> bool:
     return any(
-        op.is_write
-        and op.outcome is decisions.Outcome.RAN
-        and op.begun > moment
+        op.is_write and op.outcome is decisions.Outcome.RAN and op.begun > since
         for op in lab.operations[-50:]
     )
 
 
-def _inject(lab: standins.Lab, kind: str, old: str) -> None:
-    member = lab.members[old]
+def _inject(lab: standins.Lab, kind: str, old_primary: str) -> None:
+    member = lab.members[old_primary]
     centre = member.described.data_centre
     match kind:
         case "crash":
-            lab.crash(old)
+            lab.crash(old_primary)
         case "isolated":
-            lab.isolate(old)
+            lab.isolate(old_primary)
         case "silent":
             member.silent = True
-            lab.group.set_down(old, True)
+            lab.group.set_down(old_primary, True)
         case "slow":
             member.slow_s = 0.9
-            lab.timers.after(SLOW_S, lambda: setattr(member, "slow_s", 0.0))
+            lab.timers.after(SLOWDOWN_S, lambda: setattr(member, "slow_s", 0.0))
         case "flapping":
-            _flap(lab, old, 4)
+            _flap(lab, old_primary, 4)
         case "centre_cut":
             lab.cut_centre(centre)
 
 
-def _flap(lab: standins.Lab, old: str, times: int) -> None:
-    """Isolates a member again and again, too briefly to be replaced."""
+def _flap(lab: standins.Lab, old_primary: str, times: int) -> None:
+    """Isolates a member repeatedly, too briefly for it to be replaced."""
     if not times:
         return
-    down, up = FLAP_S
-    lab.isolate(old)
-    lab.timers.after(down, lambda: lab.heal(old))
-    lab.timers.after(down + up, lambda: _flap(lab, old, times - 1))
+    down, up = FLAP_DOWN_UP_S
+    lab.isolate(old_primary)
+    lab.timers.after(down, lambda: lab.heal(old_primary))
+    lab.timers.after(down + up, lambda: _flap(lab, old_primary, times - 1))
 
 
-def _settle(lab: standins.Lab, old: str, kind: str) -> None:
-    """Ends the fault and lets the old primary come back."""
+def _heal(lab: standins.Lab, old_primary: str, kind: str) -> None:
+    """Ends the fault and lets the old primary rejoin."""
     lab.store.down = False
-    lab.members[old].silent = False
-    lab.restart(old)
-    lab.heal(old)
+    lab.members[old_primary].silent = False
+    lab.restart(old_primary)
+    lab.heal(old_primary)
     if kind == "centre_cut":
-        lab.heal_centre(lab.members[old].described.data_centre)
+        lab.heal_centre(lab.members[old_primary].described.data_centre)
     lab.sync_records()
     lab.timers.advance(2.0)
 
 
 def false_promotions(seed: int, minutes: float) -> int:
-    """Returns the changes of primary in a time of lag spikes and pauses.
+    """Returns the changes of primary under lag spikes and pauses.
 
-    Members stop answering and nodes pause for up to 1 s each, and replication
-    falls behind for seconds; nothing of that must replace a primary.
+    Members stop responding and nodes pause for up to 1 s each, and replication
+    falls behind for seconds. None of this should replace a primary.
     """
     lab = standins.Lab(standins.LabPlan(), seed)
     lab.timers.advance(2.0)
@@ -203,24 +203,24 @@
 def _pause_member(
     lab: standins.Lab, member: standins.VirtualMember, length: float
 ) -> None:
-    """Stops a member for a while; what it was sent is answered late."""
+    """Pauses a member, which then answers pending requests late."""
     member.paused_until = lab.timers.now() + length
     lab.group.set_down(member.name, True)
     lab.timers.after(length, lambda: lab.group.set_down(member.name, False))
 
 
 def run(seed: int, seeds: int) -> _report.Report:
-    """Returns the gaps over many seeded faults of each kind."""
+    """Returns the gaps over `seeds` runs of each fault kind."""
     figures: _report.Figures = {}
-    every: list[GapResult] = []
-    hard: list[float] = []
+    all_results: list[GapResult] = []
+    lasting_gaps: list[float] = []
     plan = standins.LabPlan()
     for kind in KINDS:
         found = [run_fault(kind, seed + i, False, plan) for i in range(seeds)]
-        every += found
+        all_results += found
         gaps = [r.gap_s for r in found]
         if kind not in ("slow", "flapping"):
-            hard += gaps
+            lasting_gaps += gaps
         figures[f"gap_{kind}_median_s"] = _report.median(gaps)
         figures[f"gap_{kind}_worst_s"] = max(gaps)
         figures[f"promotions_{kind}"] = sum(r.promotions for r in found)
@@ -228,16 +228,18 @@
         run_fault("isolated", seed + i, True, plan)
         for i in range(max(1, seeds // 4))
     ]
-    every += down
+    all_results += down
     figures["gap_store_down_2s_median_s"] = _report.median(
         [r.gap_s for r in down]
     )
     figures["gap_store_down_2s_worst_s"] = max(r.gap_s for r in down)
-    figures["gap_median_s"] = _report.median(hard)
-    figures["gap_worst_s"] = max(hard)
-    figures["violations"] = sum(r.violations for r in every)
-    figures["not_recovered"] = sum(not r.recovered for r in every)
-    figures["unknown_per_fault"] = sum(r.unknown for r in every) / len(every)
-    figures["faults"] = len(every)
+    figures["gap_median_s"] = _report.median(lasting_gaps)
+    figures["gap_worst_s"] = max(lasting_gaps)
+    figures["violations"] = sum(r.violations for r in all_results)
+    figures["not_recovered"] = sum(not r.recovered for r in all_results)
+    figures["unknown_per_fault"] = sum(r.unknown for r in all_results) / len(
+        all_results
+    )
+    figures["faults"] = len(all_results)
     figures["false_promotions_per_hour"] = false_promotions(seed, 10.0) * 6
     return _report.Report("failover-gap", seed, figures)
--- a/packages/ctl/src/ferry_ctl/_bench_overload.py
+++ b/packages/ctl/src/ferry_ctl/_bench_overload.py
@@ -1,4 +1,4 @@
-"""Goodput, refusals and memory at several times the capacity."""
+"""Goodput, refusals and queue length at several times the capacity."""
 
 import attrs
 import ferry_decisions as decisions
@@ -16,25 +16,26 @@
 
 @attrs.frozen
 class LoadResult:
-    """What one load gave.
+    """Measurements at one load.
 
     Attributes:
-        goodput: Answers a second that came before the callers' deadlines.
-        refused_s: Median seconds until a refusal.
-        most_held: Most requests that were in the system at once.
-        violations: Broken promises, "not run" that ran among them.
-        tries_ratio: Requests that reached a member, for each first try.
+        goodput: Replies per second that arrived within the callers' deadlines.
+        refusal_s: Median time until a refusal, in seconds.
+        max_in_flight: Largest number of concurrent requests.
+        violations: Violations of the guarantees, including requests that ran
+            although they were reported as "not run".
+        runs_per_request: Writes that members stored, per request sent.
     """
 
     goodput: float
-    refused_s: float
-    most_held: int
+    refusal_s: float
+    max_in_flight: int
     violations: int
-    tries_ratio: float
+    runs_per_request: float
 
 
 def run_load(load: float, seed: int) -> LoadResult:
-    """Sends writes at a multiple of the primary's capacity."""
+    """Sends writes at `load` times the capacity of the primary."""
     plan = standins.LabPlan(statement_s=STATEMENT_S, slots=SLOTS)
     lab = standins.Lab(plan, seed)
     lab.contracts.merge(
@@ -53,20 +54,20 @@
     nodes = list(lab.nodes_by_name.values())
     end = lab.timers.now() + RUN_S
     begun = lab.timers.now()
-    held = 0
-    most = 0
+    in_flight = 0
+    largest = 0
     sent = 0
     while lab.timers.now() < end:
         lab.timers.advance(lab.random.expovariate(load * capacity))
         session = standins.LabSession(lab, f"s{sent}", timeout_s=TIMEOUT_S)
         sent += 1
-        held += 1
-        most = max(most, held)
+        in_flight += 1
+        largest = max(largest, in_flight)
         fut = session.write(lab.random.choice(nodes))
 
         def done(_: object) -> None:
-            nonlocal held
-            held -= 1
+            nonlocal in_flight
+            in_flight -= 1
 
         fut.add_done_callback(done)
     lab.timers.advance(DRAIN_S)
@@ -80,24 +81,24 @@
     counted = [op for op in in_time if begun + 1.0 <= op.ended <= end]
     return LoadResult(
         goodput=len(counted) / (RUN_S - 1.0),
-        refused_s=_report.median(refused),
-        most_held=most,
+        refusal_s=_report.median(refused),
+        max_in_flight=largest,
         violations=lab.verdict().total,
-        tries_ratio=len(lab.stored()) / max(1, sent),
+        runs_per_request=len(lab.stored()) / max(1, sent),
     )
 
 
 def run(seed: int) -> _report.Report:
-    """Returns goodput at loads from half to five times the capacity."""
+    """Returns the figures at loads from half to five times the capacity."""
     figures: _report.Figures = {}
     found = {load: run_load(load, seed) for load in LOADS}
     for load, result in found.items():
         name = f"{load:g}x"
         figures[f"goodput_per_s_{name}"] = result.goodput
-        figures[f"refused_median_s_{name}"] = result.refused_s
-        figures[f"most_held_{name}"] = result.most_held
+        figures[f"refused_median_s_{name}"] = result.refusal_s
+        figures[f"most_held_{name}"] = result.max_in_flight
         figures[f"violations_{name}"] = result.violations
-        figures[f"runs_per_request_{name}"] = result.tries_ratio
+        figures[f"runs_per_request_{name}"] = result.runs_per_request
     peak = max(r.goodput for r in found.values())
     figures["goodput_ratio_at_5x"] = found[5.0].goodput / peak
     figures["violations"] = sum(r.violations for r in found.values())
--- a/packages/ctl/src/ferry_ctl/_contracts.py
+++ b/packages/ctl/src/ferry_ctl/_contracts.py
@@ -1,4 +1,4 @@
-"""`rosemaryferryctl contract`: the contracts of customers."""
+"""`rosemaryferryctl contract`: shows and changes customers' contracts."""
 
 import json
 import pathlib
@@ -26,12 +26,12 @@
 @_api.api_options
 def list_contracts(url: str, token: str, operator: str) -> None:
     """Lists the contracts in force."""
-    found = _api.Api(url, token, operator).call("GET", "/v1/contracts").body
+    contracts = _api.Api(url, token, operator).call("GET", "/v1/contracts").body
     click.echo(f"{'CUSTOMER':24} {'VERSION':>7} {'SHARE':>5}  DATABASES")
-    for each in found:
+    for row in contracts:
         click.echo(
-            f"{each['customer']:24} {each['version']:>7} {each['share']:>5}  "
-            f"{','.join(each['databases'])}"
+            f"{row['customer']:24} {row['version']:>7} {row['share']:>5}  "
+            f"{','.join(row['databases'])}"
         )
 
 
@@ -47,7 +47,7 @@
 @click.argument("customer")
 @_api.api_options
 def history(customer: str, url: str, token: str, operator: str) -> None:
-    """Shows who changed a contract, and how; the newest change first."""
+    """Shows a contract's changes and their authors, newest first."""
     _show(_api.Api(url, token, operator), f"/v1/contracts/{customer}/history")
 
 
@@ -72,7 +72,7 @@
 @contract.command()
 @click.argument("customer")
 @click.argument("path", type=click.Path(exists=True, dir_okay=False))
-@click.option("--version", required=True, help="The version you amend.")
+@click.option("--version", required=True, help="The version to amend.")
 @_api.api_options
 def amend(
     customer: str,
@@ -82,7 +82,7 @@
     token: str,
     operator: str,
 ) -> None:
-    """Replaces a contract, if it is still at the version you name."""
+    """Replaces a contract if it is still at the given version."""
     api = _api.Api(url, token, operator)
     reply = api.call(
         "PUT",
@@ -96,12 +96,12 @@
 
 @contract.command()
 @click.argument("customer")
-@click.option("--version", required=True, help="The version you delete.")
+@click.option("--version", required=True, help="The version to delete.")
 @_api.api_options
 def delete(
     customer: str, version: str, url: str, token: str, operator: str
 ) -> None:
-    """Deletes a contract: its customer is no longer served."""
+    """Deletes a contract, so that its customer is no longer served."""
     api = _api.Api(url, token, operator)
     api.call("DELETE", f"/v1/contracts/{customer}", if_version=version)
     click.echo(f"{customer} is deleted")
--- a/packages/ctl/src/ferry_ctl/_demo.py
+++ b/packages/ctl/src/ferry_ctl/_demo.py
@@ -1,4 +1,4 @@
-"""`rosemaryferryctl demo`: the main job on stand-ins, in one process."""
+"""`rosemaryferryctl demo`: a failover under load on in-process stand-ins."""
 
 import concurrent.futures
 import random
@@ -14,32 +14,33 @@
 
 from ferry_ctl import _standins
 
-CLERKS = {"lone-star": 20, "blue-mountain": 5}
+CLERKS_PER_CUSTOMER = {"lone-star": 20, "blue-mountain": 5}
 RUN_S = 9.0
 FAULT_AT_S = 4.0
 STARTUP_S = 10.0
 ORDER_SHARE = 0.1
-LAG_S = 0.02
-PAUSE_S = 0.004
+REPLICATION_DELAY_S = 0.02
+REQUEST_INTERVAL_S = 0.004
 
 
 class DemoFailedError(click.ClickException):
-    """The demo saw something that must never happen."""
+    """The demo could not be carried out."""
 
 
 @attrs.define
 class Tally:
-    """What the clerks saw.
+    """Counts of what the clerks observed, shared by their threads.
 
     Attributes:
-        statements: Statements that were answered.
-        refused: Requests that were told not to have run.
-        unknown: Requests whose outcome was not known.
-        violations: Reads that did not show the clerk's own orders.
-        acknowledged: Orders that were acknowledged, by number.
-        unsure: Orders whose outcome was not known, by number.
-        not_run: Orders that were told not to have run, by number.
-        ack_times: When each order was acknowledged, in seconds.
+        statements: Number of answered statements.
+        refused: Number of requests reported as not run.
+        unknown: Number of requests whose outcome is unknown.
+        violations: Number of reads that lacked an order of the same clerk.
+        acknowledged: Serial numbers of acknowledged orders.
+        unknown_orders: Serial numbers of orders whose outcome is unknown.
+        not_run: Serial numbers of orders reported as not run.
+        ack_times: Monotonic time of each acknowledgement, in seconds.
+        lock: Guards the other attributes.
     """
 
     statements: int = 0
@@ -47,14 +48,14 @@
     unknown: int = 0
     violations: int = 0
     acknowledged: set[int] = attrs.field(factory=set)
-    unsure: set[int] = attrs.field(factory=set)
+    unknown_orders: set[int] = attrs.field(factory=set)
     not_run: set[int] = attrs.field(factory=set)
     ack_times: list[float] = attrs.field(factory=list)
     lock: threading.Lock = attrs.field(factory=threading.Lock)
 
 
 class Clerk:
-    """Places orders, and reads them back through whatever node comes next."""
+    """Places orders and reads them back, through a random node each time."""
 
     def __init__(
         self,
@@ -70,21 +71,21 @@
         self._random = random.Random(f"{customer}-{number}")
         self._conns: dict[str, psycopg.Connection[tuple[int]]] = {}
         self._token = ""
-        self._own: set[int] = set()
-        self._next = 0
+        self._own_orders: set[int] = set()
+        self._order_count = 0
 
     def work(self, end: float) -> None:
-        """Works until a moment, in seconds of the monotonic clock."""
+        """Sends requests until `end`, in seconds of the monotonic clock."""
         while time.monotonic() < end:
             node = self._random.choice(list(self._fleet.nodes))
             if self._random.random() < ORDER_SHARE:
                 self._order(node)
             else:
                 self._read(node)
-            time.sleep(PAUSE_S)
+            time.sleep(REQUEST_INTERVAL_S)
 
     def close(self) -> None:
-        """Closes all connections."""
+        """Closes all connections of this clerk."""
         for conn in self._conns.values():
             conn.close()
 
@@ -106,8 +107,8 @@
             self._token = status.decode()
 
     def _order(self, node: str) -> None:
-        self._next += 1
-        serial = self._number * 1_000_000 + self._next
+        self._order_count += 1
+        serial = self._number * 1_000_000 + self._order_count
         try:
             conn = self._conn(node)
             conn.execute(
@@ -118,7 +119,7 @@
             self._note_failure(exc, serial)
             return
         self._keep_token(conn)
-        self._own.add(serial)
+        self._own_orders.add(serial)
         with self._tally.lock:
             self._tally.statements += 1
             self._tally.acknowledged.add(serial)
@@ -138,7 +139,7 @@
         seen = {row[0] for row in rows}
         with self._tally.lock:
             self._tally.statements += 1
-            if not self._own <= seen:
+            if not self._own_orders <= seen:
                 self._tally.violations += 1
 
     def _note_failure(self, exc: psycopg.Error, serial: int | None) -> None:
@@ -151,11 +152,15 @@
             else:
                 self._tally.unknown += 1
                 if serial is not None:
-                    self._tally.unsure.add(serial)
+                    self._tally.unknown_orders.add(serial)
 
 
 def start_fleet() -> standins.Fleet:
-    """Returns a fleet that serves, with both customers' contracts."""
+    """Starts a fleet with both customers' contracts; waits until it serves.
+
+    Raises:
+        DemoFailedError: It does not serve within `STARTUP_S`.
+    """
     logging.set_verbosity(logging.ERROR)
     fleet = standins.Fleet(standins.FleetPlan())
     for customer, share in _standins.CUSTOMERS.items():
@@ -176,14 +181,18 @@
         except psycopg.Error as exc:
             if time.monotonic() > end:
                 fleet.close()
-                raise DemoFailedError(f"did not come up: {exc}") from exc
+                raise DemoFailedError(
+                    f"the fleet did not start: {exc}"
+                ) from exc
             time.sleep(0.1)
 
 
 @click.command()
-@click.option("--serve", is_flag=True, help="Stay up for your own client.")
+@click.option(
+    "--serve", is_flag=True, help="Keep serving, for use with your own client."
+)
 def demo(serve: bool) -> None:
-    """Runs the main job on stand-ins and prints what was seen."""
+    """Runs clients on stand-ins through a failover and prints a summary."""
     fleet = start_fleet()
     try:
         if serve:
@@ -212,11 +221,11 @@
     clerks = [
         Clerk(fleet, customer, number + offset, tally)
         for offset, (customer, count) in zip(
-            (1, 101), CLERKS.items(), strict=True
+            (1, 101), CLERKS_PER_CUSTOMER.items(), strict=True
         )
         for number in range(count)
     ]
-    fleet.groups["plates"].faults.delay_s = LAG_S
+    fleet.groups["plates"].faults.delay_s = REPLICATION_DELAY_S
     end = time.monotonic() + RUN_S
     with concurrent.futures.ThreadPoolExecutor(len(clerks)) as pool:
         futs = [pool.submit(clerk.work, end) for clerk in clerks]
@@ -251,8 +260,8 @@
     old: str,
 ) -> None:
     lost = tally.acknowledged - set(stored)
-    doubled = len(stored) - len(set(stored))
-    untrue = tally.not_run & set(stored)
+    duplicated = len(stored) - len(set(stored))
+    executed_refusals = tally.not_run & set(stored)
     before = max((t for t in tally.ack_times if t <= fault_at), default=0.0)
     after = min((t for t in tally.ack_times if t > fault_at + 0.5), default=0)
     by_replicas = sum(
@@ -267,8 +276,8 @@
         ("orders acknowledged", f"{len(tally.acknowledged)}"),
         ("replica share of reads", f"{share:.1%}"),
         ("consistency violations", f"{tally.violations}"),
-        ("orders lost or doubled", f"{len(lost) + doubled}"),
-        ("'not run' that ran", f"{len(untrue)}"),
+        ("orders lost or doubled", f"{len(lost) + duplicated}"),
+        ("'not run' that ran", f"{len(executed_refusals)}"),
         ("told not run", f"{tally.refused}"),
         ("told unknown", f"{tally.unknown}"),
         ("old and new primary", f"{old} -> {fleet.primary('plates').name}"),
@@ -276,5 +285,5 @@
     ]
     for name, value in lines:
         click.echo(f"{name:26} {value}")
-    if tally.violations or lost or doubled or untrue or not after:
+    if tally.violations or lost or duplicated or executed_refusals or not after:
         sys.exit(1)
--- a/packages/ctl/src/ferry_ctl/route_analysis.py
+++ b/packages/ctl/src/ferry_ctl/route_analysis.py
@@ -1,9 +1,9 @@
-"""What a configuration's routes say, for people: pure functions.
+"""Pure functions that summarise and check the routes of a configuration.
 
-Answers configurations that have outgrown reading: thousands of routes, most
-of which differ in a name alone. The rule by which a caller's database gets
-its route is the proxy's own: its routes are kept by database, and of several
-for one database the last in the document counts.
+They serve operators whose configurations are too long to read: thousands of
+routes, most of which differ only in their names. A database is mapped to its
+route by the proxy's own rule: if several routes name the same database, the
+last one in the document applies.
 """
 
 import collections
@@ -13,13 +13,15 @@
 import attrs
 import ferry_proxy as proxy
 
-Book = proxy.ConfigurationDraft
-SIMILAR = 3  # Names that are shown where one is not found.
+Draft = proxy.ConfigurationDraft
+
+# Similar names that are suggested for a database without a route.
+MAX_SIMILAR_NAMES = 3
 
 
 @attrs.frozen(slots=True)
-class Terms:
-    """All that a route says but for its names: routes alike share them."""
+class RouteTerms:
+    """All settings of a route except its own and its database's name."""
 
     service: str
     consistency: str
@@ -29,7 +31,7 @@
     max_staleness_s: float
 
     @classmethod
-    def of(cls, route: proxy.Route) -> "Terms":
+    def of(cls, route: proxy.Route) -> "RouteTerms":
         """Returns the terms of a route."""
         return cls(
             route.service,
@@ -42,27 +44,27 @@
 
 
 @attrs.frozen(slots=True)
-class Fold:
-    """Routes that differ in their names alone.
+class RouteGroup:
+    """Routes that differ only in their names.
 
     Attributes:
-        terms: What they share.
-        databases: Their databases, in the document's order.
+        terms: The settings that they share.
+        databases: Their databases, in the order of the document.
     """
 
-    terms: Terms
+    terms: RouteTerms
     databases: tuple[str, ...]
 
 
 @attrs.frozen(slots=True)
-class Choice:
-    """The route that a database gets.
+class RouteChoice:
+    """The route that applies to a database.
 
     Attributes:
-        route: The route; None where there is none.
-        passed_over: Others for the same database: the last one counts.
-        service: Its group; None where the configuration lacks it.
-        similar: Databases of a similar name, where there is no route.
+        route: The route; None if there is none.
+        passed_over: Earlier routes for the same database, which do not apply.
+        service: The route's service; None if the configuration lacks it.
+        similar: Databases with a similar name, if there is no route.
     """
 
     route: proxy.Route | None
@@ -73,11 +75,11 @@
 
 @attrs.frozen(slots=True)
 class Change:
-    """A database whose route is another one.
+    """A difference between two configurations in one database's route.
 
     Attributes:
-        before: Its route before; None for none.
-        after: Its route now; None for none.
+        before: The route in the old configuration; None if there is none.
+        after: The route in the new configuration; None if there is none.
     """
 
     before: proxy.Route | None
@@ -85,14 +87,14 @@
 
     @property
     def kind(self) -> str:
-        """What became of it, in one word."""
+        """Kind of the change: "gained", "lost" or "altered"."""
         if self.before is None:
             return "gained"
         return "lost" if self.after is None else "altered"
 
     @property
     def fields(self) -> tuple[str, ...]:
-        """The names of the fields that differ, of an altered one."""
+        """Names of the fields that differ; empty if a route is missing."""
         before, after = self.before, self.after
         if before is None or after is None:
             return ()
@@ -102,34 +104,36 @@
         )
 
 
-def fold(routes: tuple[proxy.Route, ...]) -> list[Fold]:
-    """Returns routes by their terms, the largest folds first."""
-    found: dict[Terms, list[str]] = {}
+def group_routes(routes: tuple[proxy.Route, ...]) -> list[RouteGroup]:
+    """Groups routes with equal terms; returns the largest groups first."""
+    found: dict[RouteTerms, list[str]] = {}
     for route in routes:
-        found.setdefault(Terms.of(route), []).append(route.database)
-    folds = [Fold(terms, tuple(names)) for terms, names in found.items()]
-    return sorted(folds, key=lambda f: -len(f.databases))
-
-
-def choose(book: Book, database: str) -> Choice:
-    """Returns the route that callers of a database get, and why."""
-    fitting = [r for r in book.routes if r.database == database]
-    if not fitting:
-        names = sorted({r.database for r in book.routes})
-        close = difflib.get_close_matches(database, names, SIMILAR)
-        return Choice(None, similar=tuple(close))
-    *passed_over, route = fitting
-    services = {s.name: s for s in book.services}
-    return Choice(route, tuple(passed_over), services.get(route.service))
-
-
-def problems(book: Book) -> Iterator[str]:
-    """Yields everything that is wrong, or likely to be, each with its place."""
-    yield from book.mistakes
-    services = {s.name for s in book.services}
-    counts = collections.Counter(r.database for r in book.routes)
-    names = collections.Counter(r.name for r in book.routes)
-    for number, route in enumerate(book.routes):
+        found.setdefault(RouteTerms.of(route), []).append(route.database)
+    groups = [RouteGroup(terms, tuple(names)) for terms, names in found.items()]
+    return sorted(groups, key=lambda f: -len(f.databases))
+
+
+def find_route(draft: Draft, database: str) -> RouteChoice:
+    """Returns the route that applies to a database, with its context."""
+    matching = [r for r in draft.routes if r.database == database]
+    if not matching:
+        names = sorted({r.database for r in draft.routes})
+        close_names = difflib.get_close_matches(
+            database, names, MAX_SIMILAR_NAMES
+        )
+        return RouteChoice(None, similar=tuple(close_names))
+    *passed_over, route = matching
+    services = {s.name: s for s in draft.services}
+    return RouteChoice(route, tuple(passed_over), services.get(route.service))
+
+
+def problems(draft: Draft) -> Iterator[str]:
+    """Yields all actual and likely mistakes, each with its location."""
+    yield from draft.mistakes
+    services = {s.name for s in draft.services}
+    counts = collections.Counter(r.database for r in draft.routes)
+    names = collections.Counter(r.name for r in draft.routes)
+    for number, route in enumerate(draft.routes):
         place = f"route {number} ({route.name}, database {route.database})"
         if route.service not in services:
             yield f"{place}: no service is named {route.service!r}"
@@ -137,15 +141,15 @@
             yield f"{place}: one of {counts[route.database]} for its database"
         if names[route.name] > 1:
             yield f"{place}: one of {names[route.name]} of its name"
-        yield from (f"{place}: {words}" for words in _limits(route))
-    used = {r.service for r in book.routes}
-    for service in book.services:
+        yield from (f"{place}: {words}" for words in _time_problems(route))
+    used = {r.service for r in draft.routes}
+    for service in draft.services:
         if service.name not in used:
             yield f"service {service.name}: no route leads to it"
 
 
-def _limits(route: proxy.Route) -> Iterator[str]:
-    """Yields what is wrong with a route's times."""
+def _time_problems(route: proxy.Route) -> Iterator[str]:
+    """Yields the mistakes in a route's time limits."""
     if route.timeout_s <= 0:
         yield "its time limit is zero: every statement fails"
     elif route.timeout_s < route.target_s:
@@ -158,8 +162,8 @@
         yield "no replica is ever fresh enough: its staleness is zero"
 
 
-def changes(before: Book, after: Book) -> list[Change]:
-    """Returns what a new configuration changes, by database."""
+def changes(before: Draft, after: Draft) -> list[Change]:
+    """Returns the changes between two configurations, sorted by database."""
     old = {r.database: r for r in before.routes}
     new = {r.database: r for r in after.routes}
     databases = sorted(old.keys() | new.keys())
--- a/packages/runtime/src/ferry_runtime/tests/test_tls.py
+++ b/packages/runtime/src/ferry_runtime/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS on streams, against the standard library's client."""
+"""Tests TLS on streams against the standard library's client."""
 
 from collections.abc import Iterator
 import pathlib
@@ -11,11 +11,11 @@
 
 CERTIFICATE = pathlib.Path(__file__).parent / "data" / "server.pem"
 HOST = "127.0.0.1"
-LIMIT_S = 10.0
+TIMEOUT_S = 10.0
 
 
 class EchoServer:
-    """Starts TLS on each stream and sends back what arrives."""
+    """Starts TLS on each accepted stream and echoes the received bytes."""
 
     def __init__(self) -> None:
         self.loop = runtime.EventLoop()
@@ -35,29 +35,29 @@
 
     def stop(self) -> None:
         self.loop.stop()
-        self.thread.join(LIMIT_S)
+        self.thread.join(TIMEOUT_S)
         self.loop.close()
 
 
 @pytest.fixture
 def server() -> Iterator[EchoServer]:
-    made = EchoServer()
-    yield made
-    made.stop()
+    echo_server = EchoServer()
+    yield echo_server
+    echo_server.stop()
 
 
 def connect(server: EchoServer) -> ssl.SSLSocket:
     context = ssl.create_default_context(cafile=str(CERTIFICATE))
-    raw = socket.create_connection((HOST, server.port), LIMIT_S)
+    raw = socket.create_connection((HOST, server.port), TIMEOUT_S)
     return context.wrap_socket(raw, server_hostname="localhost")
 
 
 @pytest.mark.parametrize("size", [1, 20_000, 3_000_000])
 def test_bytes_pass_whole_in_both_directions(server, size):
-    """More than a record, and more than the buffers between the two hold."""
+    """The sizes exceed one TLS record and the socket buffers in between."""
     sent = bytes(n % 251 for n in range(size))
     client = connect(server)
-    client.sendall(sent)  # The server keeps what is not fetched yet.
+    client.sendall(sent)  # The server queues what is not read yet.
     received = bytearray()
     while len(received) < size:
         received += client.recv(65_536)
@@ -67,9 +67,9 @@
 
 
 def test_a_caller_without_tls_is_closed_and_others_go_on(server):
-    plain = socket.create_connection((HOST, server.port), LIMIT_S)
+    plain = socket.create_connection((HOST, server.port), TIMEOUT_S)
     plain.sendall(b"START orders u1\r\n" * 20)
-    plain.settimeout(LIMIT_S)
+    plain.settimeout(TIMEOUT_S)
     while True:
         try:
             if not plain.recv(4096):
--- a/tools/check_style.py
+++ b/tools/check_style.py
@@ -1,6 +1,7 @@
-"""Holds the parts of the house style that the linter has no rule for.
+"""Checks the rules of the code style for which the linter has no rule.
 
-Usage: check_style.py. Prints one line a finding; exits 1 where there is any.
+Usage: check_style.py. Prints one line per finding and exits with 1 if there
+are any.
 """
 
 import ast
@@ -13,54 +14,56 @@
 BANNED = frozenset(
     {"asyncio", "multiprocessing", "subprocess", "mmap", "dataclasses"}
 )
-NAMES_MAY_BE_IMPORTED = frozenset({"typing", "collections.abc"})
+NAME_IMPORTS_ALLOWED = frozenset({"typing", "collections.abc"})
 CODEC = "pygwire"
 CODEC_MODULE = "_wire.py"
 STANDINS = "ferry_standins"
-MAY_USE_STANDINS = frozenset({"ferry_ctl", "ferry_standins"})
+STANDIN_USERS = frozenset({"ferry_ctl", "ferry_standins"})
 
 
 def is_test(path: pathlib.Path) -> bool:
-    """Whether a file is a test."""
+    """Returns whether a file belongs to the tests."""
     return "tests" in path.parts
 
 
 def module_names() -> frozenset[str]:
-    """Returns the names of all modules of the workspace."""
+    """Returns the names of all modules in the workspace."""
     return frozenset(p.stem for p in ROOT.glob("packages/*/src/**/*.py"))
 
 
 def import_findings(
     path: pathlib.Path, tree: ast.Module, modules: frozenset[str]
 ) -> Iterator[str]:
-    """Yields what is wrong with a file's imports."""
+    """Yields the violations in a file's imports."""
     package = path.relative_to(ROOT / "packages").parts[2]
     for node in ast.walk(tree):
-        found: list[str] = []
+        imported: list[str] = []
         if isinstance(node, ast.Import):
-            found = [a.name for a in node.names]
+            imported = [a.name for a in node.names]
         elif isinstance(node, ast.ImportFrom):
-            found = [node.module or ""]
-            own = (node.module or "").startswith("ferry_")
-            allowed = node.module in NAMES_MAY_BE_IMPORTED
+            imported = [node.module or ""]
+            is_own_package = (node.module or "").startswith("ferry_")
+            allowed = node.module in NAME_IMPORTS_ALLOWED
             for alias in node.names:
                 is_module = alias.name in modules or alias.name == "tests"
-                capital = alias.name[:1].isupper()
-                if not allowed and ((own and not is_module) or capital):
+                is_class_name = alias.name[:1].isupper()
+                if not allowed and (
+                    (is_own_package and not is_module) or is_class_name
+                ):
                     yield f"{path}:{node.lineno} imports the name {alias.name}"
-        for name in found:
+        for name in imported:
             top = name.split(".")[0]
             if top in BANNED:
                 yield f"{path}: imports {top}"
             if top == CODEC and path.name != CODEC_MODULE:
                 yield f"{path}: only {CODEC_MODULE} may use {CODEC}"
-            shipped = package not in MAY_USE_STANDINS and not is_test(path)
-            if top == STANDINS and shipped:
+            is_shipped = package not in STANDIN_USERS and not is_test(path)
+            if top == STANDINS and is_shipped:
                 yield f"{path}: shipped code uses the stand-ins"
 
 
 def findings() -> Iterator[str]:
-    """Yields all findings of the workspace."""
+    """Yields all findings in the workspace."""
     modules = module_names()
     for path in sorted(ROOT.glob("packages/*/src/**/*.py")):
         text = path.read_text()
@@ -75,7 +78,7 @@
 
 
 def main() -> int:
-    """Prints all findings."""
+    """Prints all findings and returns the exit code."""
     found = list(findings())
     for line in found:
         print(line)
