--- a/packages/ctl/src/ferry_ctl/_bench_capacity.py
+++ b/packages/ctl/src/ferry_ctl/_bench_capacity.py
@@ -187,7 +187,9 @@
 def _admission_cpu(customers: int) -> float:
     """Returns processor seconds of one slot with that many waiting."""
     timers = decisions.VirtualTimers()
-    queue = decisions.AdmissionQueue(timers, 5, decisions.ORDERS.get("fair")())
+    queue = decisions.AdmissionQueue(
+        timers, 5, decisions.ADMISSION_POLICIES.get("fair")()
+    )
     held: list[decisions.Slot] = []
     for index in range(customers):
         contract = decisions.Contract(
--- a/packages/ctl/src/ferry_ctl/_bench_fairness.py
+++ b/packages/ctl/src/ferry_ctl/_bench_fairness.py
@@ -101,7 +101,7 @@
         self.timers = decisions.VirtualTimers()
         self.rng = random.Random(seed)
         self.queue = decisions.AdmissionQueue(
-            self.timers, SLOTS, decisions.ORDERS.get(order)()
+            self.timers, SLOTS, decisions.ADMISSION_POLICIES.get(order)()
         )
         self.served: dict[str, Served] = {}
         self.busy_s = 0.0
--- a/packages/decisions/src/ferry_decisions/__init__.py
+++ b/packages/decisions/src/ferry_decisions/__init__.py
@@ -9,12 +9,14 @@
 from ferry_decisions import lazy
 
 if typing.TYPE_CHECKING:
-    from ferry_decisions._admission import ORDERS as ORDERS
+    from ferry_decisions._admission import (
+        ADMISSION_POLICIES as ADMISSION_POLICIES,
+    )
     from ferry_decisions._admission import AdmissionQueue as AdmissionQueue
     from ferry_decisions._admission import Slot as Slot
     from ferry_decisions._blackboard import Blackboard as Blackboard
-    from ferry_decisions._blackboard import Key as Key
-    from ferry_decisions._blackboard import View as View
+    from ferry_decisions._blackboard import BoardKey as BoardKey
+    from ferry_decisions._blackboard import BoardView as BoardView
     from ferry_decisions._confirmations import (
         TermReplacedError as TermReplacedError,
     )
@@ -47,8 +49,8 @@
         TimeoutExpiredError as TimeoutExpiredError,
     )
     from ferry_decisions._flows import completed as completed
-    from ferry_decisions._flows import either as either
     from ferry_decisions._flows import failed as failed
+    from ferry_decisions._flows import first_completed as first_completed
     from ferry_decisions._flows import forward as forward
     from ferry_decisions._flows import reject as reject
     from ferry_decisions._flows import resolve as resolve
@@ -56,16 +58,15 @@
     from ferry_decisions._flows import settled as settled
     from ferry_decisions._flows import sleep as sleep
     from ferry_decisions._flows import start as start
-    from ferry_decisions._flows import within as within
+    from ferry_decisions._flows import with_timeout as with_timeout
     from ferry_decisions._hashing import rendezvous_score as rendezvous_score
-    from ferry_decisions._hashing import spread_share as spread_share
+    from ferry_decisions._hashing import stagger_fraction as stagger_fraction
     from ferry_decisions._logs import log_debug as log_debug
     from ferry_decisions._logs import log_exception as log_exception
     from ferry_decisions._logs import log_warning as log_warning
     from ferry_decisions._membership import Membership as Membership
     from ferry_decisions._outcomes import ANSWER_LOST as ANSWER_LOST
     from ferry_decisions._outcomes import BEHIND as BEHIND
-    from ferry_decisions._outcomes import BY_NAME as BY_NAME
     from ferry_decisions._outcomes import CANCELED as CANCELED
     from ferry_decisions._outcomes import DEADLINE_IN_QUEUE as DEADLINE_IN_QUEUE
     from ferry_decisions._outcomes import DUPLICATE_KEY as DUPLICATE_KEY
@@ -88,6 +89,7 @@
         PROTOCOL_VIOLATION as PROTOCOL_VIOLATION,
     )
     from ferry_decisions._outcomes import READ_CUT as READ_CUT
+    from ferry_decisions._outcomes import REASONS_BY_NAME as REASONS_BY_NAME
     from ferry_decisions._outcomes import STATEMENT_FAILED as STATEMENT_FAILED
     from ferry_decisions._outcomes import STATEMENT_TIMEOUT as STATEMENT_TIMEOUT
     from ferry_decisions._outcomes import STOPPING as STOPPING
@@ -124,7 +126,7 @@
         StoreUnavailableError as StoreUnavailableError,
     )
     from ferry_decisions._ports import StoreWatch as StoreWatch
-    from ferry_decisions._positions import ZERO as ZERO
+    from ferry_decisions._positions import ZERO_POSITION as ZERO_POSITION
     from ferry_decisions._positions import History as History
     from ferry_decisions._positions import (
         InvalidPositionError as InvalidPositionError,
@@ -144,20 +146,20 @@
     from ferry_decisions._promotion import decode_record as decode_record
     from ferry_decisions._promotion import record_key as record_key
     from ferry_decisions._registry import Registry as Registry
-    from ferry_decisions._replicas import Fitness as Fitness
+    from ferry_decisions._replicas import Eligibility as Eligibility
     from ferry_decisions._replicas import ReplicaTracker as ReplicaTracker
     from ferry_decisions._retries import RetryBudget as RetryBudget
     from ferry_decisions._retries import backoff as backoff
-    from ferry_decisions._revisions import UNREAD as UNREAD
+    from ferry_decisions._revisions import UNREAD_REVISION as UNREAD_REVISION
     from ferry_decisions._revisions import Revision as Revision
     from ferry_decisions._routing import READ_POLICIES as READ_POLICIES
     from ferry_decisions._routing import ReadRequest as ReadRequest
     from ferry_decisions._session_floors import SessionFloors as SessionFloors
     from ferry_decisions._sessions import SessionState as SessionState
-    from ferry_decisions._sessions import staleness_of as staleness_of
+    from ferry_decisions._sessions import parse_staleness as parse_staleness
     from ferry_decisions._statements import SETTING_PREFIX as SETTING_PREFIX
-    from ferry_decisions._statements import Kind as Kind
     from ferry_decisions._statements import Statement as Statement
+    from ferry_decisions._statements import StatementKind as StatementKind
     from ferry_decisions._statements import classify as classify
     from ferry_decisions._structuring import (
         InvalidDocumentError as InvalidDocumentError,
@@ -178,8 +180,8 @@
     from ferry_decisions._watch import WatchSettings as WatchSettings
 
 _NAMES = {
-    "_admission": ["AdmissionQueue", "ORDERS", "Slot"],
-    "_blackboard": ["Blackboard", "Key", "View"],
+    "_admission": ["AdmissionQueue", "ADMISSION_POLICIES", "Slot"],
+    "_blackboard": ["Blackboard", "BoardKey", "BoardView"],
     "_confirmations": ["TermReplacedError"],
     "_contracts": [
         "CONTRACT_PREFIX",
@@ -215,15 +217,15 @@
         "settled",
         "sleep",
         "start",
-        "within",
+        "with_timeout",
     ],
-    "_hashing": ["rendezvous_score", "spread_share"],
+    "_hashing": ["rendezvous_score", "stagger_fraction"],
     "_logs": ["log_debug", "log_exception", "log_warning"],
     "_membership": ["Membership"],
     "_outcomes": [
         "ANSWER_LOST",
         "BEHIND",
-        "BY_NAME",
+        "REASONS_BY_NAME",
         "CANCELED",
         "DEADLINE_IN_QUEUE",
         "DUPLICATE_KEY",
@@ -272,7 +274,7 @@
         "History",
         "InvalidPositionError",
         "Position",
-        "ZERO",
+        "ZERO_POSITION",
         "satisfies",
     ],
     "_probing": [
@@ -286,13 +288,13 @@
     ],
     "_promotion": ["RECORD_PREFIX", "decode_record", "record_key"],
     "_registry": ["Registry"],
-    "_replicas": ["Fitness", "ReplicaTracker"],
+    "_replicas": ["Eligibility", "ReplicaTracker"],
     "_retries": ["RetryBudget", "backoff"],
-    "_revisions": ["Revision", "UNREAD"],
+    "_revisions": ["Revision", "UNREAD_REVISION"],
     "_routing": ["READ_POLICIES", "ReadRequest"],
     "_session_floors": ["SessionFloors"],
-    "_sessions": ["SessionState", "staleness_of"],
-    "_statements": ["Kind", "SETTING_PREFIX", "Statement", "classify"],
+    "_sessions": ["SessionState", "parse_staleness"],
+    "_statements": ["StatementKind", "SETTING_PREFIX", "Statement", "classify"],
     "_structuring": ["InvalidDocumentError", "structure", "unstructure"],
     "_timers": [
         "PeriodicTimer",
--- a/packages/decisions/src/ferry_decisions/_admission.py
+++ b/packages/decisions/src/ferry_decisions/_admission.py
@@ -84,12 +84,12 @@
         """Returns a customer with a waiter, or None to leave a slot idle."""
 
 
-ORDERS: _registry.Registry[Callable[[], Order]] = _registry.Registry(
-    "admission"
+ADMISSION_POLICIES: _registry.Registry[Callable[[], Order]] = (
+    _registry.Registry("admission")
 )
 
 
-@ORDERS.register("fair")
+@ADMISSION_POLICIES.register("fair")
 class FairOrder:
     """The waiting customer that is furthest behind its share."""
 
@@ -99,7 +99,7 @@
         return min(waiting)[1] if waiting else None
 
 
-@ORDERS.register("fifo")
+@ADMISSION_POLICIES.register("fifo")
 class FifoOrder:
     """First come, first served: a baseline."""
 
@@ -113,7 +113,7 @@
         return min(heads)[1] if heads else None
 
 
-@ORDERS.register("slack")
+@ADMISSION_POLICIES.register("slack")
 class SlackOrder:
     """The waiter with the least time left: a baseline.
 
@@ -132,7 +132,7 @@
         return min(heads)[1] if heads else None
 
 
-@ORDERS.register("static")
+@ADMISSION_POLICIES.register("static")
 class StaticOrder:
     """A fixed part of the slots for each customer: a baseline."""
 
--- a/packages/decisions/src/ferry_decisions/_blackboard.py
+++ b/packages/decisions/src/ferry_decisions/_blackboard.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen(slots=True, eq=False)
-class Key(typing.Generic[T]):
+class BoardKey(typing.Generic[T]):
     """The name and the type of an entry.
 
     Attributes:
@@ -33,10 +33,10 @@
 class Controller(typing.Protocol):
     """A part that acts on changes of the blackboard."""
 
-    reads: tuple[Key[typing.Any], ...]
-    writes: tuple[Key[typing.Any], ...]
+    reads: tuple[BoardKey[typing.Any], ...]
+    writes: tuple[BoardKey[typing.Any], ...]
 
-    def run(self, board: "View") -> None:
+    def run(self, board: "BoardView") -> None:
         """Acts on the present state."""
 
 
@@ -44,7 +44,7 @@
     """Typed entries, and the controllers that depend on them."""
 
     def __init__(self) -> None:
-        self._entries: dict[Key[typing.Any], typing.Any] = {}
+        self._entries: dict[BoardKey[typing.Any], typing.Any] = {}
         self._controllers: list[Controller] = []
         self._due: list[Controller] = []
         self._running = False
@@ -55,11 +55,11 @@
         self._due.append(controller)
         self._settle()
 
-    def read(self, key: Key[T]) -> T:
+    def read(self, key: BoardKey[T]) -> T:
         """Returns the value of an entry."""
         return typing.cast(T, self._entries.get(key, key.default))
 
-    def write(self, key: Key[T], value: T) -> None:
+    def write(self, key: BoardKey[T], value: T) -> None:
         """Sets an entry; an equal value changes nothing."""
         if self.read(key) == value:
             return
@@ -76,25 +76,27 @@
         try:
             while self._due:
                 controller = self._due.pop(0)
-                controller.run(View(self, controller.reads, controller.writes))
+                controller.run(
+                    BoardView(self, controller.reads, controller.writes)
+                )
         finally:
             self._running = False
 
 
-class View:
+class BoardView:
     """The part of the blackboard that one controller declared."""
 
     def __init__(
         self,
         board: Blackboard,
-        reads: Iterable[Key[typing.Any]],
-        writes: Iterable[Key[typing.Any]],
+        reads: Iterable[BoardKey[typing.Any]],
+        writes: Iterable[BoardKey[typing.Any]],
     ) -> None:
         self._board = board
         self._reads = frozenset(reads)
         self._writes = frozenset(writes)
 
-    def read(self, key: Key[T]) -> T:
+    def read(self, key: BoardKey[T]) -> T:
         """Returns an entry that the controller declared.
 
         Raises:
@@ -104,7 +106,7 @@
             raise UndeclaredAccessError(key.name)
         return self._board.read(key)
 
-    def write(self, key: Key[T], value: T) -> None:
+    def write(self, key: BoardKey[T], value: T) -> None:
         """Sets an entry that the controller declared to write.
 
         Raises:
--- a/packages/decisions/src/ferry_decisions/_detector.py
+++ b/packages/decisions/src/ferry_decisions/_detector.py
@@ -80,7 +80,7 @@
         life.upstream_silence = silence_s
         life.upstream_at = self._timers.now()
 
-    def note_lateness(self, late_s: float) -> None:
+    def note_process_pause(self, late_s: float) -> None:
         """Forgives the members the time for which this process was paused."""
         if late_s < self._cfg.lateness_s:
             return
--- a/packages/decisions/src/ferry_decisions/_flows.py
+++ b/packages/decisions/src/ferry_decisions/_flows.py
@@ -118,7 +118,9 @@
     return out
 
 
-def either(one: "Future[None]", other: "Future[None]") -> "Future[None]":
+def first_completed(
+    one: "Future[None]", other: "Future[None]"
+) -> "Future[None]":
     """Returns a future that is done when one of two is."""
     out: Future[None] = Future()
     forward(one, out)
@@ -126,7 +128,7 @@
     return out
 
 
-def within(
+def with_timeout(
     timers: _timers.TimerService, seconds: float, fut: "Future[T]"
 ) -> "Future[T]":
     """Returns a future that fails with a timeout when `fut` takes too long."""
--- a/packages/decisions/src/ferry_decisions/_hashing.py
+++ b/packages/decisions/src/ferry_decisions/_hashing.py
@@ -17,7 +17,7 @@
     return int.from_bytes(digest.digest(), "big")
 
 
-def spread_share(key: str, node: str) -> float:
+def stagger_fraction(key: str, node: str) -> float:
     """Returns a node's own share of a delay, from 0 to 1, for a key.
 
     Nodes that would act at one moment act spread over the delay.
--- a/packages/decisions/src/ferry_decisions/_membership.py
+++ b/packages/decisions/src/ferry_decisions/_membership.py
@@ -117,7 +117,7 @@
         """Stops probing."""
         self._timer.stop()
 
-    def note_lateness(self, late_s: float) -> None:
+    def note_process_pause(self, late_s: float) -> None:
         """Forgets outstanding probes after a pause of this process."""
         if late_s >= self._cfg.lateness_s:
             self._waiting.clear()
--- a/packages/decisions/src/ferry_decisions/_outcomes.py
+++ b/packages/decisions/src/ferry_decisions/_outcomes.py
@@ -76,7 +76,7 @@
 STATEMENT_FAILED = Reason("RF110", Outcome.UNKNOWN, "statement_failed")
 STATEMENT_TIMEOUT = Reason("RF111", Outcome.UNKNOWN, "statement_timeout")
 
-BY_NAME: dict[str, Reason] = {
+REASONS_BY_NAME: dict[str, Reason] = {
     value.name: value
     for value in list(globals().values())
     if isinstance(value, Reason)
--- a/packages/decisions/src/ferry_decisions/_positions.py
+++ b/packages/decisions/src/ferry_decisions/_positions.py
@@ -52,7 +52,7 @@
         raise InvalidPositionError(f"{text!r} is not of the form term:index")
 
 
-ZERO = Position(0, 0)
+ZERO_POSITION = Position(0, 0)
 
 
 @attrs.frozen(slots=True)
@@ -98,7 +98,7 @@
     index, since that term's tail may be cut. Nor does one whose term's start
     is unknown here.
     """
-    if floor == ZERO:
+    if floor == ZERO_POSITION:
         return True
     if applied.term < floor.term:
         return False
--- a/packages/decisions/src/ferry_decisions/_promotion.py
+++ b/packages/decisions/src/ferry_decisions/_promotion.py
@@ -123,7 +123,7 @@
         order = _ports.PromoteOrder(
             claim.term, self._database.member(successor.name), starts
         )
-        yield _flows.within(
+        yield _flows.with_timeout(
             self._timers,
             PROMOTE_TIMEOUT_S,
             self._driver.promote(order.primary, order),
@@ -145,7 +145,7 @@
     def _claim(
         self, known: _databases.Record
     ) -> "_flows.Flow[tuple[_databases.Record, _revisions.Revision]]":
-        entry = yield _flows.within(
+        entry = yield _flows.with_timeout(
             self._timers,
             READ_TIMEOUT_S,
             self._store.get(record_key(known.database)),
@@ -174,7 +174,7 @@
         """Writes the record; returns its revision, reading back if needed."""
         key = record_key(record.database)
         try:
-            entry = yield _flows.within(
+            entry = yield _flows.with_timeout(
                 self._timers,
                 WRITE_TIMEOUT_S,
                 self._store.put_if(key, encode_record(record), revision),
@@ -193,7 +193,7 @@
         failure: Exception = _ports.StoreUnavailableError(key)
         for _ in range(READ_BACK_TRIES):
             try:
-                entry = yield _flows.within(
+                entry = yield _flows.with_timeout(
                     self._timers, READ_TIMEOUT_S, self._store.get(key)
                 )
             except (
@@ -214,7 +214,7 @@
     def _fence(self, term: int) -> "_flows.Flow[list[_databases.MemberStatus]]":
         needed = self._database.majority
         futs = [
-            _flows.within(
+            _flows.with_timeout(
                 self._timers,
                 FENCE_TIMEOUT_S,
                 self._driver.fence(member, term, self._claim_id),
--- a/packages/decisions/src/ferry_decisions/_replicas.py
+++ b/packages/decisions/src/ferry_decisions/_replicas.py
@@ -26,12 +26,12 @@
     position: _positions.Position
 
 
-class Fitness(enum.Enum):
+class Eligibility(enum.Enum):
     """Whether a replica may answer a read."""
 
-    FIT = "fit"
-    FLOOR = "below_floor"
-    AGE = "too_old"
+    ELIGIBLE = "fit"
+    BELOW_FLOOR = "below_floor"
+    TOO_OLD = "too_old"
 
 
 class ReplicaTracker:
@@ -54,7 +54,7 @@
 
     def note_applied(self, member: str, applied: _positions.Position) -> None:
         """Takes in what a member has applied."""
-        known = self._applied.get(member, _positions.ZERO)
+        known = self._applied.get(member, _positions.ZERO_POSITION)
         if applied >= known:
             self._applied[member] = applied
 
@@ -75,7 +75,7 @@
 
     def applied(self, member: str) -> _positions.Position:
         """Returns the last position that a member is known to have applied."""
-        return self._applied.get(member, _positions.ZERO)
+        return self._applied.get(member, _positions.ZERO_POSITION)
 
     def age(self, member: str) -> float:
         """Returns the age of a member's data in seconds, or infinity."""
@@ -85,12 +85,12 @@
                 return self._timers.now() - sample.at
         return math.inf
 
-    def fitness(
+    def eligibility(
         self, member: str, floor: _positions.Position, staleness_s: float
-    ) -> Fitness:
+    ) -> Eligibility:
         """Returns whether a member may answer a read."""
         if not _positions.satisfies(self.applied(member), floor, self.history):
-            return Fitness.FLOOR
+            return Eligibility.BELOW_FLOOR
         if self.age(member) > staleness_s:
-            return Fitness.AGE
-        return Fitness.FIT
+            return Eligibility.TOO_OLD
+        return Eligibility.ELIGIBLE
--- a/packages/decisions/src/ferry_decisions/_retries.py
+++ b/packages/decisions/src/ferry_decisions/_retries.py
@@ -26,7 +26,7 @@
     def _full(self) -> float:
         return self.burst
 
-    def note_first(self) -> None:
+    def note_first_attempt(self) -> None:
         """Earns the share of one first try."""
         self._tokens = min(self.burst, self._tokens + self.share)
 
--- a/packages/decisions/src/ferry_decisions/_revisions.py
+++ b/packages/decisions/src/ferry_decisions/_revisions.py
@@ -26,4 +26,4 @@
         return Revision(self.era)
 
 
-UNREAD = Revision()
+UNREAD_REVISION = Revision()
--- a/packages/decisions/src/ferry_decisions/_session_floors.py
+++ b/packages/decisions/src/ferry_decisions/_session_floors.py
@@ -18,7 +18,7 @@
 
     def __init__(self, max_sessions: int = MAX_SESSIONS) -> None:
         self._max = max_sessions
-        self._base = _positions.ZERO
+        self._base = _positions.ZERO_POSITION
         self._floors: collections.OrderedDict[str, _positions.Position] = (
             collections.OrderedDict()
         )
@@ -30,7 +30,7 @@
 
     def note(self, session: str, position: _positions.Position) -> None:
         """Takes in a write, before its caller is told of it."""
-        known = self._floors.pop(session, _positions.ZERO)
+        known = self._floors.pop(session, _positions.ZERO_POSITION)
         self._floors[session] = max(known, position)
         if len(self._floors) > self._max:
             _, forgotten = self._floors.popitem(last=False)
@@ -38,7 +38,9 @@
 
     def floor(self, session: str) -> _positions.Position:
         """Returns a position that covers all writes of a session."""
-        return max(self._base, self._floors.get(session, _positions.ZERO))
+        return max(
+            self._base, self._floors.get(session, _positions.ZERO_POSITION)
+        )
 
     def __len__(self) -> int:
         return len(self._floors)
--- a/packages/decisions/src/ferry_decisions/_sessions.py
+++ b/packages/decisions/src/ferry_decisions/_sessions.py
@@ -52,7 +52,7 @@
                 return position
         return None
 
-    def with_seen(
+    def with_floor(
         self, database: str, seen: _positions.Position
     ) -> "SessionState":
         """Returns the state after an answer that showed `seen`."""
@@ -83,7 +83,7 @@
         state = attrs.evolve(self, carries_token=True)
         for pair in text.split(","):
             name, _, position = pair.partition("=")
-            state = state.with_seen(
+            state = state.with_floor(
                 name, _positions.Position.from_text(position)
             )
         return state
@@ -97,7 +97,7 @@
         if name == "session":
             return self.with_token(value)
         if name == "read":
-            return attrs.evolve(self, staleness_s=staleness_of(value))
+            return attrs.evolve(self, staleness_s=parse_staleness(value))
         if name == "timeout_ms":
             return attrs.evolve(self, timeout_s=_milliseconds(value) / 1000)
         if name == "idempotency_key":
@@ -128,7 +128,7 @@
         return values[name]
 
 
-def staleness_of(text: str) -> float:
+def parse_staleness(text: str) -> float:
     """Returns the seconds of `age 5s`, `age 200ms`, or 0 for `primary`.
 
     Raises:
--- a/packages/decisions/src/ferry_decisions/_statements.py
+++ b/packages/decisions/src/ferry_decisions/_statements.py
@@ -37,7 +37,7 @@
 )
 
 
-class Kind(enum.Enum):
+class StatementKind(enum.Enum):
     """How a statement is treated."""
 
     READ = "read"
@@ -60,13 +60,13 @@
         value: For SET, the value.
     """
 
-    kind: Kind
+    kind: StatementKind
     name: str = ""
     value: str = ""
 
 
-_PLAIN_READ = Statement(Kind.READ)
-_PLAIN_WRITE = Statement(Kind.WRITE)
+_PLAIN_READ = Statement(StatementKind.READ)
+_PLAIN_WRITE = Statement(StatementKind.WRITE)
 
 
 def classify(sql: str) -> Statement:
@@ -76,15 +76,17 @@
     found = _BEGIN.match(sql)
     if found:
         read_only = _READ_ONLY.search(found["rest"])
-        return Statement(Kind.BEGIN_READ_ONLY if read_only else Kind.BEGIN)
+        return Statement(
+            StatementKind.BEGIN_READ_ONLY if read_only else StatementKind.BEGIN
+        )
     if _END.match(sql):
-        return Statement(Kind.END)
+        return Statement(StatementKind.END)
     found = _SET.match(sql)
     if found:
         name = found["name"].lower().removeprefix(SETTING_PREFIX)
-        return Statement(Kind.SET, name, _unquoted(found["value"]))
+        return Statement(StatementKind.SET, name, _unquoted(found["value"]))
     if _SESSION_STATE.match(sql):
-        return Statement(Kind.SESSION_STATE)
+        return Statement(StatementKind.SESSION_STATE)
     return _PLAIN_WRITE
 
 
@@ -92,7 +94,7 @@
     found = _SHOW.match(sql)
     if found:
         name = found["name"].lower().removeprefix(SETTING_PREFIX)
-        return Statement(Kind.SHOW, name)
+        return Statement(StatementKind.SHOW, name)
     several = ";" in sql.rstrip().rstrip(";")
     if several or _LOCKING.search(sql):
         return _PLAIN_WRITE
--- a/packages/decisions/src/ferry_decisions/_watch.py
+++ b/packages/decisions/src/ferry_decisions/_watch.py
@@ -140,9 +140,9 @@
                 record.term,
             )
 
-    def note_lateness(self, late_s: float) -> None:
+    def note_process_pause(self, late_s: float) -> None:
         """Takes in that this process was paused."""
-        self._detector.note_lateness(late_s)
+        self._detector.note_process_pause(late_s)
 
     def note_answer(
         self, member: str, position: _positions.Position | None, asked_at: float
--- a/packages/decisions/src/ferry_decisions/tests/test_admission.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_admission.py
@@ -18,7 +18,7 @@
 
 def queue_of(timers, slots=1, order="fair"):
     return decisions.AdmissionQueue(
-        timers, slots, decisions.ORDERS.get(order)(), burst_s=0.0
+        timers, slots, decisions.ADMISSION_POLICIES.get(order)(), burst_s=0.0
     )
 
 
@@ -106,7 +106,7 @@
 
 def test_customer_holds_no_more_than_its_limit():
     timers = decisions.VirtualTimers()
-    order = decisions.ORDERS.get("fair")()
+    order = decisions.ADMISSION_POLICIES.get("fair")()
     queue = decisions.AdmissionQueue(timers, 5, order, limit=lambda _: 2)
     mine = [queue.acquire(contract("a"), 1e9) for _ in range(4)]
     other = queue.acquire(contract("b"), 1e9)
--- a/packages/decisions/src/ferry_decisions/tests/test_sessions.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_sessions.py
@@ -6,8 +6,8 @@
 
 
 def test_token_carries_floors_to_another_session():
-    first = decisions.SessionState().with_seen("a", decisions.Position(2, 7))
-    first = first.with_seen("b", decisions.Position(1, 1))
+    first = decisions.SessionState().with_floor("a", decisions.Position(2, 7))
+    first = first.with_floor("b", decisions.Position(1, 1))
     second = decisions.SessionState().with_token(first.token)
     assert second.floor("a") == decisions.Position(2, 7)
     assert second.floor("b") == decisions.Position(1, 1)
@@ -15,7 +15,7 @@
 
 
 def test_token_never_lowers_a_floor():
-    state = decisions.SessionState().with_seen("a", decisions.Position(3, 1))
+    state = decisions.SessionState().with_floor("a", decisions.Position(3, 1))
     assert state.with_token("a=2:99").floor("a") == decisions.Position(3, 1)
 
 
@@ -44,4 +44,4 @@
     [("age 5s", 5.0), ("age 250ms", 0.25), ("AGE 2min", 120), ("primary", 0)],
 )
 def test_staleness(text, seconds):
-    assert decisions.staleness_of(text) == seconds
+    assert decisions.parse_staleness(text) == seconds
--- a/packages/decisions/src/ferry_decisions/tests/test_small_parts.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_small_parts.py
@@ -31,7 +31,7 @@
 def test_timeout_is_typed_and_late_results_are_dropped():
     timers = decisions.VirtualTimers()
     slow: decisions.Future[int] = decisions.Future()
-    bounded = decisions.within(timers, 1.0, slow)
+    bounded = decisions.with_timeout(timers, 1.0, slow)
     timers.advance(1.1)
     decisions.resolve(slow, 1)
     assert isinstance(bounded.exception(), decisions.TimeoutExpiredError)
@@ -55,12 +55,12 @@
 
 
 def test_controller_may_touch_only_what_it_declared():
-    key, other = decisions.Key("a", 0), decisions.Key("b", 0)
+    key, other = decisions.BoardKey("a", 0), decisions.BoardKey("b", 0)
     board = decisions.Blackboard()
 
     class Greedy:
-        reads: tuple[decisions.Key[typing.Any], ...] = (key,)
-        writes: tuple[decisions.Key[typing.Any], ...] = ()
+        reads: tuple[decisions.BoardKey[typing.Any], ...] = (key,)
+        writes: tuple[decisions.BoardKey[typing.Any], ...] = ()
 
         def run(self, view):
             view.write(other, 1)
@@ -70,12 +70,12 @@
 
 
 def test_controller_runs_when_what_it_reads_changes():
-    key, out = decisions.Key("a", 0), decisions.Key("b", 0)
+    key, out = decisions.BoardKey("a", 0), decisions.BoardKey("b", 0)
     board = decisions.Blackboard()
 
     class Doubler:
-        reads: tuple[decisions.Key[typing.Any], ...] = (key,)
-        writes: tuple[decisions.Key[typing.Any], ...] = (out,)
+        reads: tuple[decisions.BoardKey[typing.Any], ...] = (key,)
+        writes: tuple[decisions.BoardKey[typing.Any], ...] = (out,)
 
         def run(self, view):
             view.write(out, 2 * view.read(key))
@@ -89,7 +89,7 @@
     budget = decisions.RetryBudget(0.1, 5.0)
     taken = 0
     for _ in range(1000):
-        budget.note_first()
+        budget.note_first_attempt()
         taken += budget.take()
     assert 100 <= taken <= 106
 
@@ -196,9 +196,18 @@
     tracker.note_primary(P(1, 5), timers.now())
     timers.advance(3.0)
     assert tracker.age("m-b") == 3.0
-    assert tracker.fitness("m-b", P(1, 5), 5.0) is decisions.Fitness.FIT
-    assert tracker.fitness("m-b", P(1, 5), 2.0) is decisions.Fitness.AGE
-    assert tracker.fitness("m-b", P(1, 6), 5.0) is decisions.Fitness.FLOOR
+    assert (
+        tracker.eligibility("m-b", P(1, 5), 5.0)
+        is decisions.Eligibility.ELIGIBLE
+    )
+    assert (
+        tracker.eligibility("m-b", P(1, 5), 2.0)
+        is decisions.Eligibility.TOO_OLD
+    )
+    assert (
+        tracker.eligibility("m-b", P(1, 6), 5.0)
+        is decisions.Eligibility.BELOW_FLOOR
+    )
 
 
 def test_a_ticker_wakes_once_for_all_that_is_due():
--- a/packages/decisions/src/ferry_decisions/tests/test_statements.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_statements.py
@@ -4,7 +4,7 @@
 
 import ferry_decisions as decisions
 
-K = decisions.Kind
+K = decisions.StatementKind
 
 
 @pytest.mark.parametrize(
--- a/packages/node/src/ferry_node/_answers.py
+++ b/packages/node/src/ferry_node/_answers.py
@@ -113,14 +113,14 @@
 
 
 def _described(statement: decisions.Statement) -> bytes:
-    if statement.kind is decisions.Kind.SET:
+    if statement.kind is decisions.StatementKind.SET:
         return b""
     name = decisions.SETTING_PREFIX + statement.name
     return _wire.encode_row_description([name], [_wire.TEXT_OID])
 
 
 def _executed(statement: decisions.Statement, value: str) -> bytes:
-    if statement.kind is decisions.Kind.SET:
+    if statement.kind is decisions.StatementKind.SET:
         return _wire.encode_command_complete("SET")
     row = _wire.encode_data_row([value.encode()])
     return row + _wire.encode_command_complete("SHOW")
--- a/packages/node/src/ferry_node/_batches.py
+++ b/packages/node/src/ferry_node/_batches.py
@@ -50,12 +50,14 @@
     @property
     def is_read(self) -> bool:
         """Whether all of it is believed to read only."""
-        return all(s.kind is decisions.Kind.READ for s in self.statements)
+        return all(
+            s.kind is decisions.StatementKind.READ for s in self.statements
+        )
 
     @property
     def is_local(self) -> bool:
         """Whether this node answers all of it."""
-        local = (decisions.Kind.SET, decisions.Kind.SHOW)
+        local = (decisions.StatementKind.SET, decisions.StatementKind.SHOW)
         return bool(self.statements) and all(
             s.kind in local for s in self.statements
         )
@@ -64,18 +66,19 @@
     def changes_session(self) -> bool:
         """Whether it sets state of the endpoint connection itself."""
         return any(
-            s.kind is decisions.Kind.SESSION_STATE for s in self.statements
+            s.kind is decisions.StatementKind.SESSION_STATE
+            for s in self.statements
         )
 
     @property
     def may_end(self) -> bool:
         """Whether it may commit or roll back a transaction."""
-        if any(s.kind is decisions.Kind.END for s in self.statements):
+        if any(s.kind is decisions.StatementKind.END for s in self.statements):
             return True
         return self.simple and b";" in self.payload.rstrip(b"\0; \n")
 
     @property
-    def first_kind(self) -> decisions.Kind | None:
+    def first_kind(self) -> decisions.StatementKind | None:
         """The kind of the first statement; None where there is none."""
         return self.statements[0].kind if self.statements else None
 
--- a/packages/node/src/ferry_node/_controllers.py
+++ b/packages/node/src/ferry_node/_controllers.py
@@ -60,16 +60,16 @@
 class PlacementController:
     """Computes which members this node serves."""
 
-    reads: tuple[decisions.Key[typing.Any], ...] = (
+    reads: tuple[decisions.BoardKey[typing.Any], ...] = (
         _board.NODES,
         _board.DATABASES,
     )
-    writes: tuple[decisions.Key[typing.Any], ...] = (_board.SERVED,)
+    writes: tuple[decisions.BoardKey[typing.Any], ...] = (_board.SERVED,)
 
     def __init__(self, node: str) -> None:
         self._node = node
 
-    def run(self, board: decisions.View) -> None:
+    def run(self, board: decisions.BoardView) -> None:
         """Writes the members for which this node scores highest."""
         nodes = board.read(_board.NODES)
         served = set()
@@ -84,13 +84,13 @@
 class StoreReaderController:
     """Decides whether this node asks the store."""
 
-    reads: tuple[decisions.Key[typing.Any], ...] = (_board.NODES,)
-    writes: tuple[decisions.Key[typing.Any], ...] = (_board.STORE_READER,)
+    reads: tuple[decisions.BoardKey[typing.Any], ...] = (_board.NODES,)
+    writes: tuple[decisions.BoardKey[typing.Any], ...] = (_board.STORE_READER,)
 
     def __init__(self, cfg: _settings.Settings) -> None:
         self._cfg = cfg
 
-    def run(self, board: decisions.View) -> None:
+    def run(self, board: decisions.BoardView) -> None:
         """Writes whether this node is one of its data centre's readers."""
         nodes = board.read(_board.NODES)
         readers = decisions.store_readers(
@@ -103,14 +103,14 @@
 class RecordController:
     """Tells the entry side of each record that has changed."""
 
-    reads: tuple[decisions.Key[typing.Any], ...] = (_board.RECORDS,)
-    writes: tuple[decisions.Key[typing.Any], ...] = ()
+    reads: tuple[decisions.BoardKey[typing.Any], ...] = (_board.RECORDS,)
+    writes: tuple[decisions.BoardKey[typing.Any], ...] = ()
 
     def __init__(self, notify: Callable[[str], object]) -> None:
         self._notify = notify
         self._known: dict[str, decisions.Record] = {}
 
-    def run(self, board: decisions.View) -> None:
+    def run(self, board: decisions.BoardView) -> None:
         """Reports the databases whose records are new."""
         records = board.read(_board.RECORDS)
         known, self._known = self._known, records
@@ -122,12 +122,12 @@
 class ServiceController:
     """Starts, configures and ends the services of the members served."""
 
-    reads: tuple[decisions.Key[typing.Any], ...] = (
+    reads: tuple[decisions.BoardKey[typing.Any], ...] = (
         _board.SERVED,
         _board.RECORDS,
         _board.DATABASES,
     )
-    writes: tuple[decisions.Key[typing.Any], ...] = ()
+    writes: tuple[decisions.BoardKey[typing.Any], ...] = ()
 
     def __init__(
         self,
@@ -145,7 +145,7 @@
         self._ctx = ctx
         self._numbers = itertools.count(1)
 
-    def run(self, board: decisions.View) -> None:
+    def run(self, board: decisions.BoardView) -> None:
         """Brings services and watches in line with the blackboard."""
         served = board.read(_board.SERVED)
         databases = board.read(_board.DATABASES)
--- a/packages/node/src/ferry_node/_conversation.py
+++ b/packages/node/src/ferry_node/_conversation.py
@@ -166,12 +166,12 @@
 
         All up to a Sync is one transaction, which a Flush must not cut.
         """
-        begins = batch.first_kind is decisions.Kind.BEGIN
+        begins = batch.first_kind is decisions.StatementKind.BEGIN
         return batch.is_read or batch.is_local or begins or self.in_transaction
 
     def _answer_lost(self, batch: _batches.Batch) -> None:
         """Answers inside a transaction that is already rolled back."""
-        ends = batch.first_kind is decisions.Kind.END
+        ends = batch.first_kind is decisions.StatementKind.END
         if ends and len(batch.statements) == 1:
             self._transaction = None
             self._send(_answers.ended_answer(batch))
@@ -188,7 +188,7 @@
         values = []
         try:
             for statement in batch.statements:
-                if statement.kind is decisions.Kind.SET:
+                if statement.kind is decisions.StatementKind.SET:
                     self._state = self._state.with_setting(
                         statement.name, statement.value
                     )
@@ -262,7 +262,7 @@
         if found is None:
             self._state = self._state.without_floor(database)
         else:
-            self._state = self._state.with_seen(database, found)
+            self._state = self._state.with_floor(database, found)
 
     def _shows_floor(self, reply: _messages.ExecuteReply) -> bool:
         """Whether an answer shows the floor that has been looked up."""
@@ -286,7 +286,7 @@
         self, batch: _batches.Batch, trace: str
     ) -> _messages.ExecuteRequest:
         kind = batch.first_kind
-        read_only = kind is decisions.Kind.BEGIN_READ_ONLY
+        read_only = kind is decisions.StatementKind.BEGIN_READ_ONLY
         read = batch.is_read or read_only
         floor = self._state.floor(self._identity.database)
         return _messages.ExecuteRequest(
@@ -295,7 +295,7 @@
             member="",
             as_primary=not read,
             read=read,
-            begin=kind is decisions.Kind.BEGIN or read_only,
+            begin=kind is decisions.StatementKind.BEGIN or read_only,
             may_end=batch.may_end,
             channel=0,
             floor=str(floor) if floor is not None else "",
@@ -360,7 +360,7 @@
                 self._state = attrs.evolve(self._state, idempotency_key="")
         if reply.position and not reply.channel:
             seen = decisions.Position.from_text(reply.position)
-            self._state = self._state.with_seen(self._identity.database, seen)
+            self._state = self._state.with_floor(self._identity.database, seen)
 
     def _answer(
         self,
@@ -369,7 +369,9 @@
         filtered: _answers.AnswerFilter,
     ) -> None:
         if reply.reason:
-            reason = decisions.BY_NAME.get(reply.reason, decisions.ANSWER_LOST)
+            reason = decisions.REASONS_BY_NAME.get(
+                reply.reason, decisions.ANSWER_LOST
+            )
             self._fail(batch, reason, reply.detail)
             return
         data = filtered.feed(reply.data)
--- a/packages/node/src/ferry_node/_drivers.py
+++ b/packages/node/src/ferry_node/_drivers.py
@@ -97,7 +97,7 @@
         conn = yield from self._connected()
         payload = encode_order(order)
         try:
-            answer = yield decisions.within(
+            answer = yield decisions.with_timeout(
                 self._loop, timeout_s, conn.execute(payload)
             )
         except (
--- a/packages/node/src/ferry_node/_entry.py
+++ b/packages/node/src/ferry_node/_entry.py
@@ -191,7 +191,7 @@
         else:
             fut = self._ctx.peers.call(target.node, request)
         try:
-            reply = yield decisions.within(
+            reply = yield decisions.with_timeout(
                 self._ctx.timers, FLOOR_TIMEOUT_S, fut
             )
         except (decisions.TimeoutExpiredError, _peers.PeerLostError):
@@ -274,7 +274,7 @@
         timers = self._ctx.timers
         deadline = timers.now() + req.budget_s
         budget = self._budgets[req.database]
-        budget.note_first()
+        budget.note_first_attempt()
         streamed = False
 
         def part(data: bytes) -> None:
--- a/packages/node/src/ferry_node/_execution.py
+++ b/packages/node/src/ferry_node/_execution.py
@@ -233,7 +233,7 @@
             return
         refused = answer.sqlstate == READ_ONLY_SQLSTATE
         floor = _gates.floor_of(work.req)
-        shown = answer.position or decisions.ZERO
+        shown = answer.position or decisions.ZERO_POSITION
         if refused or not decisions.satisfies(
             shown, floor, self._watch.tracker.history
         ):
--- a/packages/node/src/ferry_node/_gates.py
+++ b/packages/node/src/ferry_node/_gates.py
@@ -64,14 +64,14 @@
         end = min(work.deadline, self._timers.now() + self._cfg.catch_up_s)
         asked = False
         while True:
-            fitness = tracker.fitness(name, floor, work.req.staleness_s)
-            if fitness is decisions.Fitness.FIT:
+            eligibility = tracker.eligibility(name, floor, work.req.staleness_s)
+            if eligibility is decisions.Eligibility.ELIGIBLE:
                 return
             far = tracker.age(name) > self._cfg.catch_up_s + FAR_BEHIND_S
-            hopeless = fitness is decisions.Fitness.AGE or far
+            hopeless = eligibility is decisions.Eligibility.TOO_OLD or far
             if asked and (hopeless or self._timers.now() >= end):
                 raise decisions.RequestFailedError(
-                    decisions.BEHIND, fitness.value
+                    decisions.BEHIND, eligibility.value
                 )
             if asked:
                 yield decisions.sleep(self._timers, POLL_S)
@@ -148,7 +148,7 @@
             work.contract.commit_wait_s, work.deadline - self._timers.now()
         )
         try:
-            yield decisions.within(
+            yield decisions.with_timeout(
                 self._timers,
                 max(0.0, wait_s),
                 confirmations.confirm(answer.position.index, led_at),
@@ -191,5 +191,5 @@
 def floor_of(req: _messages.ExecuteRequest) -> decisions.Position:
     """Returns the position that a request has to show."""
     if not req.floor:
-        return decisions.ZERO
+        return decisions.ZERO_POSITION
     return decisions.Position.from_text(req.floor)
--- a/packages/node/src/ferry_node/_node.py
+++ b/packages/node/src/ferry_node/_node.py
@@ -262,7 +262,7 @@
 
     def _note_lateness(self, late_s: float) -> None:
         for watch in self.controller.watches.values():
-            watch.note_lateness(late_s)
+            watch.note_process_pause(late_s)
 
     def _publish(self, record: decisions.Record) -> "decisions.Flow[None]":
         """Reads the record's entry back, so that it spreads by revision."""
--- a/packages/node/src/ferry_node/_observers.py
+++ b/packages/node/src/ferry_node/_observers.py
@@ -55,7 +55,7 @@
         """Gathers the data centres that find a primary gone."""
         request = _messages.OpinionRequest(database.name, member, term)
         futs = [
-            decisions.within(
+            decisions.with_timeout(
                 self._node.loop,
                 OPINION_TIMEOUT_S,
                 self._node.peers.call(node, request),
--- a/packages/node/src/ferry_node/_pools.py
+++ b/packages/node/src/ferry_node/_pools.py
@@ -123,7 +123,7 @@
         else:
             return True
         try:
-            answer = yield decisions.within(
+            answer = yield decisions.with_timeout(
                 self._timers, VALIDATE_TIMEOUT_S, conn.execute(request)
             )
         except (decisions.TimeoutExpiredError, _endpoint.EndpointLostError):
--- a/packages/node/src/ferry_node/_restoring.py
+++ b/packages/node/src/ferry_node/_restoring.py
@@ -29,7 +29,7 @@
         self._timers = timers
         self._store = store
         self._directory = directory
-        self._delay_s = SPREAD_S * decisions.spread_share("restore", node)
+        self._delay_s = SPREAD_S * decisions.stagger_fraction("restore", node)
         self._busy = False
 
     def look(self, listed: dict[str, decisions.StoreEntry]) -> None:
--- a/packages/node/src/ferry_node/_serving.py
+++ b/packages/node/src/ferry_node/_serving.py
@@ -44,7 +44,7 @@
         self.gates = _gates.Gates(timers, watch, member, cfg.policy)
         self._numbers = channel_numbers
         database = watch.database
-        order = decisions.ORDERS.get(cfg.policy.admission)
+        order = decisions.ADMISSION_POLICIES.get(cfg.policy.admission)
         self.queue = decisions.AdmissionQueue(
             timers, database.slots, order(), limit=_statement_limit
         )
--- a/packages/node/src/ferry_node/_settings.py
+++ b/packages/node/src/ferry_node/_settings.py
@@ -43,7 +43,7 @@
 def _check_policy(_: object, field: "attrs.Attribute[str]", value: str) -> None:
     names = {
         "read_policy": decisions.READ_POLICIES.names(),
-        "admission": decisions.ORDERS.names(),
+        "admission": decisions.ADMISSION_POLICIES.names(),
     }[field.name]
     if value not in names:
         raise ValueError(f"{field.name} must be one of {names}")
--- a/packages/node/src/ferry_node/_spread.py
+++ b/packages/node/src/ferry_node/_spread.py
@@ -35,8 +35,8 @@
 class Spreader:
     """Keeps this node's directory up to date, and others' with it."""
 
-    reads: tuple[decisions.Key[typing.Any], ...] = (_board.STORE_READER,)
-    writes: tuple[decisions.Key[typing.Any], ...] = ()
+    reads: tuple[decisions.BoardKey[typing.Any], ...] = (_board.STORE_READER,)
+    writes: tuple[decisions.BoardKey[typing.Any], ...] = ()
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         )
         self._read_timer = decisions.PeriodicTimer(timers, 0.5, self._reread)
 
-    def run(self, _: decisions.View) -> None:
+    def run(self, _: decisions.BoardView) -> None:
         """Starts or ends the watches when the reader's part changes."""
         is_reader = self._board.read(_board.STORE_READER)
         if is_reader and not self._watches:
@@ -214,7 +214,7 @@
     def _ask(
         self, node: decisions.Node, req: _messages.SyncRequest
     ) -> "decisions.Future[_messages.SyncReply]":
-        return decisions.within(
+        return decisions.with_timeout(
             self._timers, COMPARE_TIMEOUT_S, self._peers.call(node, req)
         )
 
--- a/packages/node/src/ferry_node/_targets.py
+++ b/packages/node/src/ferry_node/_targets.py
@@ -111,8 +111,11 @@
         self, database: str, target: Target, reply: _messages.ExecuteReply
     ) -> None:
         """Avoids for a while a replica that was out of reach or too old."""
-        if not target.primary and reply.detail != decisions.Fitness.FLOOR.value:
-            too_old = reply.detail == decisions.Fitness.AGE.value
+        if (
+            not target.primary
+            and reply.detail != decisions.Eligibility.BELOW_FLOOR.value
+        ):
+            too_old = reply.detail == decisions.Eligibility.TOO_OLD.value
             pause_s = TOO_OLD_S if too_old else BEHIND_S
             until = self._timers.now() + pause_s
             self._behind[(database, target.member)] = until
--- a/packages/proxy/src/ferry_proxy/_access.py
+++ b/packages/proxy/src/ferry_proxy/_access.py
@@ -44,7 +44,7 @@
         """
         cfg = self.configuration()
         if not self.has_teams or route.is_open or cfg is None:
-            return _teams.ANYBODY
+            return _teams.ANONYMOUS
         digest = _teams.digest_of(key)
         team = cfg.teams.by_digest.get(digest)
         if team is None:
--- a/packages/proxy/src/ferry_proxy/_in_force.py
+++ b/packages/proxy/src/ferry_proxy/_active_configuration.py
@@ -5,8 +5,8 @@
 from ferry_proxy import _clocks
 from ferry_proxy import _configuration
 from ferry_proxy import _events
-from ferry_proxy import _homes
 from ferry_proxy import _store
+from ferry_proxy import _team_placement
 
 MAX_DETAIL = 400  # Characters of a log line on what was passed over.
 
@@ -26,7 +26,7 @@
     learned_at: float
 
 
-class InForce:
+class ActiveConfiguration:
     """The newest configuration that a node has heard of.
 
     Attributes:
@@ -39,7 +39,7 @@
         self._clock = clock
         self.configuration: _configuration.Configuration | None = None
         self.origin: Origin | None = None
-        self.homes = _homes.Homes({})
+        self.team_placement = _team_placement.TeamPlacement({})
 
     @property
     def version(self) -> int:
@@ -67,8 +67,8 @@
             return  # Written again, under another revision.
         self.configuration = cfg
         rates = cfg.teams.rates
-        if rates != self.homes.rates:
-            self.homes = _homes.Homes(rates)
+        if rates != self.team_placement.rates:
+            self.team_placement = _team_placement.TeamPlacement(rates)
         self._report(cfg, known, item, source)
 
     def _report(
--- a/packages/proxy/src/ferry_proxy/_catalogue.py
+++ b/packages/proxy/src/ferry_proxy/_catalogue.py
@@ -10,17 +10,17 @@
 import attrs
 import ferry_decisions as decisions
 
+from ferry_proxy import _active_configuration
 from ferry_proxy import _clocks
 from ferry_proxy import _configuration
 from ferry_proxy import _events
 from ferry_proxy import _grace
-from ferry_proxy import _homes
-from ferry_proxy import _in_force
 from ferry_proxy import _member_entries
 from ferry_proxy import _members
 from ferry_proxy import _policy
 from ferry_proxy import _records
 from ferry_proxy import _store
+from ferry_proxy import _team_placement
 from ferry_proxy import _teams
 
 
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen(slots=True)
-class Reading:
+class SnapshotRead:
     """A reading of all items.
 
     Attributes:
@@ -83,7 +83,7 @@
         revision: The store's revision up to which all changes are known.
         covered: The revision of the newest change that is known with all
             before it.
-        in_force: The configuration in force.
+        active_configuration: The configuration in force.
         grace: How long entries that are missing are still believed.
         nodes: The nodes by name.
         claims: The claims of the store's present era, by group.
@@ -104,7 +104,7 @@
         self._clock = clock
         self._layout = layout
         self._items: dict[str, _store.Item] = {}
-        self.grace = _grace.ReturnGrace(clock, policy.return_grace_s)
+        self.grace = _grace.GracePeriod(clock, policy.return_grace_s)
         self._entries = _member_entries.MemberEntries(
             _member_entries.EntriesContext(
                 clock,
@@ -115,14 +115,16 @@
             ),
             self.grace,
         )
-        self._since = decisions.UNREAD
-        self.revision = decisions.UNREAD
-        self.covered = decisions.UNREAD
-        self.in_force = _in_force.InForce(clock)
+        self._since = decisions.UNREAD_REVISION
+        self.revision = decisions.UNREAD_REVISION
+        self.covered = decisions.UNREAD_REVISION
+        self.active_configuration = _active_configuration.ActiveConfiguration(
+            clock
+        )
         self.nodes: dict[str, _records.NodeEntry] = {}
         self.claims: dict[str, _records.HeldClaim] = {}
         self.era_seen_at = float("-inf")
-        self.first_reading: Reading | None = None
+        self.first_reading: SnapshotRead | None = None
         self.refused = 0
         self.on_change: list[Callable[[], object]] = []
 
@@ -149,7 +151,7 @@
     @property
     def is_read(self) -> bool:
         """Whether the store's items were read yet."""
-        return self.revision > decisions.UNREAD
+        return self.revision > decisions.UNREAD_REVISION
 
     def condition(self, key: str) -> decisions.Revision:
         """Returns the revision that a key has, for a conditional write."""
@@ -159,17 +161,17 @@
     @property
     def configuration(self) -> _configuration.Configuration | None:
         """The configuration in force; None before the first one."""
-        return self.in_force.configuration
+        return self.active_configuration.configuration
 
     @property
     def version(self) -> int:
         """Its version; 0 without one."""
-        return self.in_force.version
+        return self.active_configuration.version
 
     @property
-    def homes(self) -> _homes.Homes:
+    def team_placement(self) -> _team_placement.TeamPlacement:
         """Which node each team is at home at."""
-        return self.in_force.homes
+        return self.active_configuration.team_placement
 
     def batch_after(
         self, revision: decisions.Revision, version: int = 0
@@ -201,19 +203,19 @@
         The store's copy may hold an older one, and a node of a later era takes
         no items of this one.
         """
-        origin = self.in_force.origin
+        origin = self.active_configuration.origin
         if origin is None or origin.item in items:
             return None
         return origin.item
 
-    def take_batch(self, batch: Batch, source: str) -> None:
+    def merge_batch(self, batch: Batch, source: str) -> None:
         """Merges in what another copy knows."""
         if batch.is_whole:
             snapshot = _store.Changes(batch.items, batch.revision)
-            self.take_snapshot(snapshot, source)
+            self.merge_snapshot(snapshot, source)
         else:
             changes = _store.Changes(batch.items, batch.revision)
-            self.take_changes(changes, source)
+            self.merge_changes(changes, source)
         self.covered = max(self.covered, batch.covered)
         if batch.kept is not None:
             # A node that has just started knows the store's copy, which may
@@ -221,14 +223,14 @@
             self._apply(batch.kept, source)
             self._note_change()
 
-    def take_changes(self, changes: _store.Changes, source: str) -> None:
+    def merge_changes(self, changes: _store.Changes, source: str) -> None:
         """Merges in all that changed after `revision`, up to a later one."""
         if changes.revision.era != self.revision.era:
             return  # They came too late: the store is read anew meanwhile.
         self._cover(changes)
         self.take(changes.items, source)
 
-    def take_snapshot(self, snapshot: _store.Changes, source: str) -> None:
+    def merge_snapshot(self, snapshot: _store.Changes, source: str) -> None:
         """Takes all items in; what is missing has been deleted."""
         present = {i.key for i in snapshot.items}
         gone = [
@@ -249,7 +251,7 @@
         taken = self.take((*snapshot.items, *gone), source)
         if is_first or is_restored:
             has_news = 0 < version < self.version
-            self.first_reading = Reading(
+            self.first_reading = SnapshotRead(
                 snapshot.revision, self._clock.now(), has_news
             )
         listed = len(snapshot.items)
@@ -282,13 +284,14 @@
             if key.startswith(_records.CLAIM_PREFIX)
             and key != present
             and item.value is not None
-            and _records.claim_of_key(key).service == service
+            and _records.parse_claim_key(key).service == service
         ]
 
     def _cover(self, changes: _store.Changes) -> None:
         self.revision = max(self.revision, changes.revision)
         newest = max(
-            (i.revision for i in changes.items), default=decisions.UNREAD
+            (i.revision for i in changes.items),
+            default=decisions.UNREAD_REVISION,
         )
         # Pages of a snapshot may hold items that are newer than it.
         self.covered = max(self.covered, min(newest, self.revision))
@@ -317,7 +320,7 @@
             self._note_change()
         return taken
 
-    def note_return(self) -> None:
+    def note_store_return(self) -> None:
         """Takes in that the store answers again after a while."""
         self.grace.begin()
 
@@ -350,7 +353,7 @@
     def _refuse(self, item: _store.Item, detail: str) -> None:
         """Passes over an item that names nothing to use."""
         self.refused += 1
-        shown = detail[: _in_force.MAX_DETAIL]
+        shown = detail[: _active_configuration.MAX_DETAIL]
         number = item.revision.number
         _events.emit(_events.DocumentRefused(item.key, number, shown))
         name = item.key.removeprefix(self._layout.member_prefix)
@@ -360,7 +363,7 @@
     def _apply_configuration(self, item: _store.Item, source: str) -> None:
         if item.value is not None:
             cfg = self._layout.decode_configuration(item.value)
-            self.in_force.take(cfg, item, source)
+            self.active_configuration.take(cfg, item, source)
 
     def _apply_node(self, name: str, item: _store.Item) -> None:
         if item.value is not None:
@@ -380,7 +383,7 @@
             self._note_change()
 
     def _apply_claim(self, item: _store.Item) -> None:
-        found = _records.claim_of_key(item.key)
+        found = _records.parse_claim_key(item.key)
         if found.era != self.revision.era:
             return
         service = found.service
--- a/packages/proxy/src/ferry_proxy/_claims.py
+++ b/packages/proxy/src/ferry_proxy/_claims.py
@@ -92,7 +92,7 @@
             ChangeAbandonedError: Another node may.
         """
         if known is not None and self._is_taken(known, now):
-            self._group.expect_change()
+            self._group.expect_primary_change()
             raise _fences.ChangeAbandonedError("another node holds the claim")
         # The holder of a claim that the store has lost may not have heard of
         # it; members that the copy lacks have written again meanwhile, too.
--- a/packages/proxy/src/ferry_proxy/_contact.py
+++ b/packages/proxy/src/ferry_proxy/_contact.py
@@ -38,7 +38,7 @@
         return self._clock.now() - max(self.heard, self.reported)
 
     @property
-    def troubled_s(self) -> float:
+    def link_failing_s(self) -> float:
         """Seconds for which every contact with the member has failed."""
         if self._troubled_since is None:
             return 0.0
@@ -55,14 +55,14 @@
         return self._clock.now() - self._asked_at
 
     @property
-    def patience_s(self) -> float:
+    def max_reply_s(self) -> float:
         """For how long a member that lives may leave all unanswered."""
         return max(QUIET_S, QUIET_FACTOR * self.latency_s)
 
     @property
-    def is_quiet(self) -> bool:
+    def is_unresponsive(self) -> bool:
         """Whether it has been silent for longer than it usually is."""
-        return self.unanswered_s > self.patience_s
+        return self.unanswered_s > self.max_reply_s
 
     def note_asked(self) -> None:
         """Takes in that something was sent that it has to answer."""
@@ -82,7 +82,7 @@
         if elapsed_s:
             self.latency_s += (elapsed_s - self.latency_s) * LATENCY_WEIGHT
 
-    def note_trouble(self) -> None:
+    def note_link_failure(self) -> None:
         """Takes in that a link was lost or could not be opened."""
         if self._troubled_since is None:
             self._troubled_since = self._clock.now()
@@ -91,7 +91,7 @@
         """Takes in that its machine answered that nothing listens there."""
         self.refused_since = min(self.refused_since, self._clock.now())
 
-    def forgive(self, late_s: float) -> None:
+    def exclude_pause(self, late_s: float) -> None:
         """Leaves out a pause of this process.
 
         Args:
--- a/packages/proxy/src/ferry_proxy/_questions.py
+++ b/packages/proxy/src/ferry_proxy/_control_commands.py
@@ -12,7 +12,7 @@
 STATUS_PRIORITY = 0  # Control links go before all statements in any case.
 
 
-class Questions:
+class ControlCommands:
     """Asks members over links of their pools."""
 
     def __init__(self, clock: _clocks.Clock, policy: _policy.Policy) -> None:
@@ -29,10 +29,10 @@
         """
         policy = self._policy
         until = self._clock.now() + policy.probe_timeout_s
-        taken = yield pool.acquire(_pools.Use.CONTROL, STATUS_PRIORITY, until)
+        pooled = yield pool.acquire(_pools.Use.CONTROL, STATUS_PRIORITY, until)
         asked_at = self._clock.boot_now()
-        reply = yield from pool.exchange(taken, command)
-        pool.release(taken)
+        reply = yield from pool.exchange(pooled, command)
+        pool.release(pooled)
         if reply.report is None:
             reason = reply.reason or decisions.PROTOCOL_VIOLATION
             raise decisions.RequestFailedError(reason, reply.detail)
--- a/packages/proxy/src/ferry_proxy/_copy_sources.py
+++ b/packages/proxy/src/ferry_proxy/_copy_sources.py
@@ -10,7 +10,7 @@
 from ferry_proxy import _clocks
 
 PAUSE_FIRST_S = 0.2
-PAUSE_MOST_S = 5.0  # A copy may be a whole document on a narrow link.
+PAUSE_MAX_S = 5.0  # A copy may be a whole document on a narrow link.
 
 
 class Named(typing.Protocol):
@@ -64,16 +64,16 @@
         found = [p for p in (*near, *far) if self._of(p.peer).not_before <= now]
         return min(found, key=lambda p: self._of(p.peer).in_vain, default=None)
 
-    def note_in_vain(self, peer: str) -> None:
+    def note_failure(self, peer: str) -> None:
         """Takes in that nothing new came from a peer."""
         known = self._attempts.setdefault(peer, _Attempts())
         known.in_vain += 1
         pause_s = decisions.backoff(
-            known.in_vain, PAUSE_FIRST_S, PAUSE_MOST_S, self._rng
+            known.in_vain, PAUSE_FIRST_S, PAUSE_MAX_S, self._rng
         )
         known.not_before = self._clock.now() + pause_s
 
-    def note_news(self, peer: str) -> None:
+    def note_success(self, peer: str) -> None:
         """Takes in that a peer's copy brought something new."""
         self._attempts.pop(peer, None)
 
--- a/packages/proxy/src/ferry_proxy/_currency.py
+++ b/packages/proxy/src/ferry_proxy/_currency.py
@@ -23,11 +23,13 @@
     """Why a configuration may be older than the newest confirmed one."""
 
     PEER_IS_AHEAD = "a peer has a newer configuration"
-    OUT_OF_TOUCH = "no recent news of the store"
-    COPY = "the store came back from a copy that may hold an older one"
+    STORE_SILENT = "no recent news of the store"
+    STORE_RESTORED = (
+        "the store came back from a copy that may hold an older one"
+    )
 
 
-class Informant(typing.Protocol):
+class PeerInfo(typing.Protocol):
     """A stream to a peer, as far as its configuration goes."""
 
     @property
@@ -35,11 +37,11 @@
         """The version of the configuration that the peer has; 0 for none."""
 
 
-class Informants(typing.Protocol):
+class PeerInfoSource(typing.Protocol):
     """The streams to other nodes."""
 
     @property
-    def streams(self) -> Sequence[Informant]:
+    def streams(self) -> Sequence[PeerInfo]:
         """One stream for each peer."""
 
 
@@ -83,20 +85,20 @@
     copy_read_s: float = math.inf
 
 
-def doubt(evidence: Evidence, news_limit_s: float) -> Doubt | None:
+def doubt(evidence: Evidence, max_store_age_s: float) -> Doubt | None:
     """Returns why a configuration may be outdated; None if it is current.
 
     Args:
         evidence: What is known of it.
-        news_limit_s: How often there is news of a store that is in reach, in
+        max_store_age_s: How often there is news of a store that is in reach, in
             seconds.
     """
     if evidence.told_version > evidence.version:
         return Doubt.PEER_IS_AHEAD
-    if evidence.store_age_s > news_limit_s:
-        return Doubt.OUT_OF_TOUCH
+    if evidence.store_age_s > max_store_age_s:
+        return Doubt.STORE_SILENT
     if evidence.copy_read_s < COPY_DOUBT_S:
-        return Doubt.COPY
+        return Doubt.STORE_RESTORED
     return None
 
 
@@ -108,7 +110,7 @@
         clock: _clocks.Clock,
         catalogue: _catalogue.Catalogue,
         news: StoreNews,
-        mesh: Informants,
+        mesh: PeerInfoSource,
     ) -> None:
         self._clock = clock
         self._catalogue = catalogue
@@ -116,9 +118,9 @@
         self._mesh = mesh
         self._suspensions = _suspensions.Suspensions(clock)
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Notes suspensions of this machine; to be called often."""
-        self._suspensions.look()
+        self._suspensions.update()
 
     @property
     def told_version(self) -> int:
@@ -128,7 +130,7 @@
     @property
     def evidence(self) -> Evidence:
         """What is known now."""
-        origin = self._catalogue.in_force.origin
+        origin = self._catalogue.active_configuration.origin
         return Evidence(
             version=self._catalogue.version,
             era=origin.item.revision.era if origin else 0,
@@ -145,7 +147,7 @@
     @property
     def _copy_read_s(self) -> float:
         first = self._catalogue.first_reading
-        origin = self._catalogue.in_force.origin
+        origin = self._catalogue.active_configuration.origin
         if first is None or not first.revision.era or origin is None:
             return math.inf
         if first.has_news or origin.item.revision > first.revision:
--- a/packages/proxy/src/ferry_proxy/_execution.py
+++ b/packages/proxy/src/ferry_proxy/_execution.py
@@ -93,9 +93,13 @@
             decisions.RequestFailedError: Whether it is kept is unknown.
         """
         group = job.group
-        took_s = self._clock.now() - job.progress.handed_at
+        took_s = self._clock.now() - job.progress.dispatched_at
         fresh = group.floor_age_s < self._policy.suspect_s
-        if fresh and not group.is_in_flux and took_s < self._policy.doubt_s:
+        if (
+            fresh
+            and not group.is_membership_changing
+            and took_s < self._policy.doubt_s
+        ):
             return
         try:
             yield group.prove()
@@ -112,7 +116,7 @@
         """
         while True:
             pool = job.group.leader_pool
-            usable = pool is not None and pool.may_take_work
+            usable = pool is not None and pool.accepts_statements
             if pool is not None and usable and not pool.is_unreachable:
                 return pool
             left = job.hold_end(self._policy) - self._clock.now()
@@ -145,9 +149,9 @@
         """Whether a member is left that is likely to run a read now."""
         if job.is_primary_only:
             return False
-        floor = job.group.floors.covering(job.moment)
+        floor = job.group.floors.covering(job.freshness_cutoff)
         return any(
-            not p.shown.lacks(floor) for p in self._untried(job.group, tried)
+            not p.reported.lacks(floor) for p in self._untried(job.group, tried)
         )
 
     def _proved_primary(self, job: _jobs.Job) -> "decisions.Flow[Target]":
@@ -165,10 +169,10 @@
             decisions.RequestFailedError: Nothing recent enough is known.
         """
         group = job.group
-        floor = group.floors.covering(job.moment)
+        floor = group.floors.covering(job.freshness_cutoff)
         if floor is None and self._may_ask(group):
             yield decisions.settled(group.refresh())
-            floor = group.floors.covering(job.moment)
+            floor = group.floors.covering(job.freshness_cutoff)
         if floor is None:
             raise decisions.RequestFailedError(decisions.NO_PRIMARY, "no floor")
         own = job.session_floor
@@ -176,7 +180,7 @@
 
     def _may_ask(self, group: _groups.Group) -> bool:
         """Whether a round of questions now could tell more than the last."""
-        recent = self._clock.now() - group.round_at < FLOOR_RETRY_S
+        recent = self._clock.now() - group.last_round_at < FLOOR_RETRY_S
         return group.leader is not None and not recent
 
     def _choose(
@@ -207,7 +211,7 @@
             p
             for p in staying or listed
             if p.member.id not in tried
-            and p.may_take_work
+            and p.accepts_statements
             and not p.is_unreachable
         ]
 
@@ -224,7 +228,7 @@
             is_primary=pool.member.id == leader,
             is_near=group.is_near(pool),
             is_responsive=group.is_responsive(pool),
-            is_behind=pool.shown.lacks(floor),
+            is_behind=pool.reported.lacks(floor),
             in_flight=pool.in_flight,
             slots=pool.member.slots,
             latency_s=pool.contact.latency_s,
@@ -249,7 +253,7 @@
         fut = self.send(job, pool, taken, floor)
         limit = job.deadline - begun
         try:
-            reply: _links.Reply = yield decisions.within(
+            reply: _links.Reply = yield decisions.with_timeout(
                 self._clock, limit, fut
             )
         except decisions.TimeoutExpiredError as exc:
@@ -260,7 +264,7 @@
         except _links.LinkLostError as exc:
             pool.discard(taken)
             lost = decisions.ANSWER_LOST
-            reason = lost if exc.handed else decisions.NO_CONNECTION
+            reason = lost if exc.was_sent else decisions.NO_CONNECTION
             raise decisions.RequestFailedError(reason, str(exc)) from exc
         pool.note_heard(taken, self._clock.now() - begun)
         pool.give_back(taken, reply)
@@ -277,7 +281,7 @@
         commands = taken.align(job.values, job.prepared)
         name = taken.prepared[job.prepared] if job.prepared else ""
         pool.note_sent(taken)
-        job.note_handed(pool.member.id, self._clock.now())
+        job.note_dispatched(pool.member.id, self._clock.now())
         return taken.link.run([*commands, job.command(floor, name)])[-1]
 
     def _retry_in_time(self, job: _jobs.Job, reply: _links.Reply) -> bool:
@@ -285,6 +289,6 @@
         if reply.reason is decisions.UNKNOWN_PREPARED:
             return False
         until = job.retry_until
-        if job.group.is_changing:
+        if job.group.is_primary_changing:
             until = job.hold_end(self._policy)
         return self._clock.now() < until
--- a/packages/proxy/src/ferry_proxy/_fences.py
+++ b/packages/proxy/src/ferry_proxy/_fences.py
@@ -100,7 +100,7 @@
         promoted over it, for as long as the life has ended lately.
         """
         newest = self._group.floors.newest
-        if not self._group.renewed or newest is None:
+        if not self._group.recently_restarted or newest is None:
             return False
         return all(r.received < newest.floor for r in reports.values())
 
@@ -112,7 +112,7 @@
         Args:
             reports: What the paused members reported, by id.
         """
-        ended = self._group.lives_ended
+        ended = self._group.restarted_at
         return any(
             ended.get(name, float("-inf")) >= self._raised_at
             for name in reports
@@ -204,16 +204,16 @@
         """
         now = self._clock.now()
         unsure = 0
-        for name, vanished in list(self._group.vanished.items()):
-            if name == old or now - vanished.at > _fencing.VANISHED_S:
+        for name, removed_members in list(self._group.removed_members.items()):
+            if name == old or now - removed_members.at > _fencing.VANISHED_S:
                 continue
             reports: dict[str, _members.Report] = {}
-            pool = self._group.open_pool(vanished.member)
+            pool = self._group.open_pool(removed_members.member)
             paused = decisions.start(self._pause(pool, term, reports))
             yield decisions.settled(paused)
             is_gone = pool.is_refused
             pool.close()
-            has_left = is_gone or vanished.member.draining
+            has_left = is_gone or removed_members.member.draining
             if not reports and not has_left:
                 unsure += 1
         return unsure
--- a/packages/proxy/src/ferry_proxy/_fencing.py
+++ b/packages/proxy/src/ferry_proxy/_fencing.py
@@ -110,7 +110,7 @@
     return _freshness.fence_size(replicas + unsure, sync_replicas)
 
 
-class StallWatch:
+class StallDetector:
     """Finds a primary whose commits no replica receives any more."""
 
     LATE_S = 0.25  # A replica asked this much later should have the commit.
--- a/packages/proxy/src/ferry_proxy/_followers.py
+++ b/packages/proxy/src/ferry_proxy/_followers.py
@@ -21,16 +21,20 @@
 from ferry_proxy import _store
 
 RETRY_FIRST_S = 0.1
-RETRY_MOST_S = 0.6  # Below the time in which a configuration must be in force.
+RETRY_MAX_S = 0.6  # Below the time in which a configuration must be in force.
 ALL_KEYS = ""
-READERS_NEAR = 3  # Nodes of a data centre that watch: two may be away at once.
+READERS_PER_DATA_CENTRE = (
+    3  # Nodes of a data centre that watch: two may be away at once.
+)
 LOOK_S = 0.2  # How often a node that does not watch asks itself whether to.
 GATHER_S = 0.3  # All nodes of a fleet list themselves within 0.3 s of a start.
 # A watch ends with each: 6.3 watches a node among 24 that start, 0.75 so.
-NEWS_LIMIT_S = 5.0  # A watch in calm brings news each 3 s, and 4 s if it ends.
+MAX_STORE_AGE_S = (
+    5.0  # A watch in calm brings news each 3 s, and 4 s if it ends.
+)
 
 
-class Informant(typing.Protocol):
+class PeerInfo(typing.Protocol):
     """A stream to a peer, as far as news of the store go.
 
     Attributes:
@@ -41,11 +45,11 @@
     store_seen: float
 
 
-class Informants(typing.Protocol):
+class PeerInfoSource(typing.Protocol):
     """The streams to other nodes."""
 
     @property
-    def streams(self) -> Sequence[Informant]:
+    def streams(self) -> Sequence[PeerInfo]:
         """One stream for each peer."""
 
 
@@ -71,7 +75,7 @@
             decisions.rendezvous_score("store-reader", n),
         ),
     )
-    return own.name in ranked[:READERS_NEAR]
+    return own.name in ranked[:READERS_PER_DATA_CENTRE]
 
 
 def _is_of_nodes(changes: _store.Changes) -> bool:
@@ -90,7 +94,7 @@
         store: _store.Store,
         catalogue: _catalogue.Catalogue,
         own: _records.NodeEntry,
-        mesh: Informants,
+        mesh: PeerInfoSource,
         policy: _policy.Policy,
     ) -> None:
         self._clock = clock
@@ -122,9 +126,9 @@
         is_new = not self._catalogue.is_read
         if self._is_reader or self._reads_once or is_new:
             return True
-        return self._clock.now() - self._told_at > NEWS_LIMIT_S
+        return self._clock.now() - self._told_at > MAX_STORE_AGE_S
 
-    def read_once(self) -> None:
+    def request_store_read(self) -> None:
         """Has this node ask the store itself until that has answered."""
         self._reads_once = True
 
@@ -141,14 +145,14 @@
     @property
     def is_connected(self) -> bool:
         """Whether the store is likely to answer now."""
-        return self.age_s < NEWS_LIMIT_S
+        return self.age_s < MAX_STORE_AGE_S
 
     def check(self) -> None:
         """Notes a return of the store that peers tell of."""
         seen, before = self.seen_at, self._seen_before
         self._seen_before = seen
-        if math.isfinite(before) and seen - before > NEWS_LIMIT_S:
-            self._catalogue.note_return()
+        if math.isfinite(before) and seen - before > MAX_STORE_AGE_S:
+            self._catalogue.note_store_return()
 
     @property
     def _told_at(self) -> float:
@@ -176,7 +180,7 @@
                     self._is_lost = True
                     _events.emit(_events.DependencyLost("store", str(exc)))
                 yield decisions.sleep(self._clock, pause)
-                pause = min(RETRY_MOST_S, pause * 2)
+                pause = min(RETRY_MAX_S, pause * 2)
                 continue
             pause = RETRY_FIRST_S
 
@@ -185,7 +189,7 @@
         if self._needs_snapshot:
             snapshot = yield self._store.list(ALL_KEYS)
             self._note_answer()
-            catalogue.take_snapshot(snapshot, "store")
+            catalogue.merge_snapshot(snapshot, "store")
             self._needs_snapshot = False
             yield decisions.sleep(self._clock, GATHER_S)
         while not self._stopped and self.is_watching:
@@ -193,7 +197,7 @@
                 ALL_KEYS, catalogue.revision, self._policy.watch_wait_s
             )
             self._note_answer()
-            catalogue.take_changes(changes, "store")
+            catalogue.merge_changes(changes, "store")
             if _is_of_nodes(changes):
                 yield decisions.sleep(self._clock, GATHER_S)
 
@@ -202,5 +206,5 @@
         self._reads_once = False
         if self._is_lost:
             self._is_lost = False
-            self._catalogue.note_return()
+            self._catalogue.note_store_return()
             _events.emit(_events.DependencyBack("store"))
--- a/packages/proxy/src/ferry_proxy/_forward_messages.py
+++ b/packages/proxy/src/ferry_proxy/_forward_messages.py
@@ -226,7 +226,7 @@
         """Returns the reply; an unknown reason may have run."""
         reason = None
         if self.reason:
-            reason = decisions.BY_NAME.get(
+            reason = decisions.REASONS_BY_NAME.get(
                 self.reason, decisions.STATEMENT_FAILED
             )
         return _links.Reply(
--- a/packages/proxy/src/ferry_proxy/_forwarder.py
+++ b/packages/proxy/src/ferry_proxy/_forwarder.py
@@ -7,13 +7,15 @@
 import ferry_decisions as decisions
 
 from ferry_proxy import _clocks
-from ferry_proxy import _homes
 from ferry_proxy import _peers
 from ferry_proxy import _policy
 from ferry_proxy import _records
 from ferry_proxy import _serving_plan
+from ferry_proxy import _team_placement
 
-QUIET_S = 0.3  # A peer that owes an answer is heard several times in this, or
+SILENT_PEER_S = (
+    0.3  # A peer that owes an answer is heard several times in this, or
+)
 # is gone: others are preferred, and reads asked there.
 
 
@@ -28,18 +30,18 @@
 
     services: frozenset[str]
     missed: frozenset[str]
-    held: int
+    open_transactions: int
 
     @property
     def closed(self) -> bool:
         """Whether the stream has ended."""
 
     @property
-    def owed_s(self) -> float:
+    def unresponsive_s(self) -> float:
         """Seconds since the peer was heard, while it owes an answer."""
 
     @property
-    def waiting(self) -> int:
+    def pending_calls(self) -> int:
         """Questions to the peer that have no answer yet."""
 
 
@@ -61,8 +63,8 @@
         own: _records.NodeEntry,
         mesh: Mesh,
         plan: Callable[[str], _serving_plan.ServingPlan | None],
-        seek: Callable[[], object],
-        homes: Callable[[], _homes.Homes],
+        open_streams: Callable[[], object],
+        team_placement: Callable[[], _team_placement.TeamPlacement],
     ) -> None:
         """Makes a forwarder.
 
@@ -78,20 +80,20 @@
         """
         self.clock = clock
         self.policy = policy
-        self.seek = seek
-        self._homes = homes
+        self.open_streams = open_streams
+        self._team_placement = team_placement
         self._own = own
         self._mesh = mesh
         self._plan = plan
 
     def is_served(self, service: str) -> bool:
         """Whether a peer that was heard lately serves a group well."""
-        return bool(self._serving_well(service))
+        return bool(self._capable_streams(service))
 
     def is_missed(self, service: str) -> bool:
         """Whether a serving node that was heard lately has lost a group."""
         return any(
-            service in s.missed and self._is_heard(s)
+            service in s.missed and self._is_responsive(s)
             for s in self._streams(service)
         )
 
@@ -116,7 +118,7 @@
             stream = streams.get(node.name)
             if stream is None or service not in stream.services:
                 continue
-            if self._is_heard(stream):
+            if self._is_responsive(stream):
                 return near
         return list(plan.nodes.values())
 
@@ -129,26 +131,26 @@
             team: The caller's team; empty where callers have none.
         """
         streams = [s for s in self._streams(service) if s.peer not in tried]
-        heard = [s for s in streams if self._is_heard(s)]
+        heard = [s for s in streams if self._is_responsive(s)]
         well = [s for s in heard if service in s.services]
         plan = self._plan(service)
         if plan is None or not (well or heard):
             return None
         if team:
             present = [s.peer for s in well or heard]
-            name = self._homes().first(team, plan.nodes, present)
+            name = self._team_placement().acting_node(team, plan.nodes, present)
             return self._mesh.by_name[name]
         near = {n.name for n in plan.near(self._own.data_centre)}
         return min(
             well or heard,
             key=lambda s: (
                 s.peer not in near,
-                s.waiting,
+                s.pending_calls,
                 decisions.rendezvous_score(self._own.name, s.peer),
             ),
         )
 
-    def is_elsewhere(self, service: str, team: str) -> bool:
+    def is_served_by_peer(self, service: str, team: str) -> bool:
         """Whether a team's statements run at a peer, and not at this node.
 
         Args:
@@ -158,17 +160,19 @@
         plan = self._plan(service)
         if plan is None or not team:
             return False
-        present = [s.peer for s in self._serving_well(service)]
+        present = [s.peer for s in self._capable_streams(service)]
         present.append(self._own.name)
-        first = self._homes().first(team, plan.nodes, present)
-        return first != self._own.name
+        acting_node = self._team_placement().acting_node(
+            team, plan.nodes, present
+        )
+        return acting_node != self._own.name
 
-    def _serving_well(self, service: str) -> list[Stream]:
+    def _capable_streams(self, service: str) -> list[Stream]:
         """Returns the streams to peers that serve a group well now."""
         return [
             s
             for s in self._streams(service)
-            if service in s.services and self._is_heard(s)
+            if service in s.services and self._is_responsive(s)
         ]
 
     def _streams(self, service: str) -> list[Stream]:
@@ -182,6 +186,6 @@
             if n != self._own.name and n in streams
         ]
 
-    def _is_heard(self, stream: Stream) -> bool:
+    def _is_responsive(self, stream: Stream) -> bool:
         heard = stream.silence_s < self.policy.isolated_s
-        return heard and stream.owed_s < QUIET_S
+        return heard and stream.unresponsive_s < SILENT_PEER_S
--- a/packages/proxy/src/ferry_proxy/_forwarding.py
+++ b/packages/proxy/src/ferry_proxy/_forwarding.py
@@ -18,16 +18,18 @@
 from ferry_proxy import _statements
 
 ANSWER_MARGIN_S = 0.05  # The serving node's own verdict arrives first.
-LOOK_AGAIN_S = 0.03  # A new stream is there after two network trips.
-SEEK_S = 0.15  # New streams to all serving nodes are there, or none will be:
+STREAM_POLL_S = 0.03  # A new stream is there after two network trips.
+STREAM_OPEN_WAIT_S = (
+    0.15  # New streams to all serving nodes are there, or none will be:
+)
 # refusing at once, 470 statements heard within 1.4 s of a partition that
 # nobody serves them, and callers spent all their retries so.
-LEAST_PAUSE_S = 0.01
+MIN_SILENCE_POLL_S = 0.01
 
 
 # What another serving node may do better: this one lacks the members, stops,
 # or lost its own link.
-ELSEWHERE = frozenset(
+RETRY_ELSEWHERE = frozenset(
     {
         decisions.NO_PRIMARY,
         decisions.NO_CONNECTION,
@@ -40,7 +42,7 @@
 
 # What a lost answer means where it leaves nothing behind: a read is asked
 # elsewhere, and a transaction whose COMMIT was not sent is rolled back.
-FREE_TO_LEAVE = frozenset({decisions.READ_CUT, decisions.TRANSACTION_LOST})
+SAFE_TO_ABANDON = frozenset({decisions.READ_CUT, decisions.TRANSACTION_LOST})
 
 
 class RemoteRunner:
@@ -55,7 +57,7 @@
         search = Search(self._forwarder, self._service, request)
         lost = decisions.ANSWER_LOST if request.writes else decisions.READ_CUT
         reply: _links.Reply | None = None
-        while reply is None or search.may_go_on(reply):
+        while reply is None or search.may_try_another(reply):
             try:
                 stream = yield from search.next()
             except decisions.RequestFailedError:
@@ -89,7 +91,7 @@
         self._request = request
         self._tried: set[str] = set()
         self._hold_end = request.hold_until(forwarder.policy, False)
-        self._has_sought = False
+        self._has_opened_streams = False
 
     def next(self) -> "decisions.Flow[_forwarder.Stream]":
         """Returns the next serving node; waits for a first one.
@@ -103,22 +105,22 @@
             if stream is not None:
                 self._tried.add(stream.peer)
                 return stream
-            if not self._has_sought:
-                self._seek()
+            if not self._has_opened_streams:
+                self._open_streams()
             if forwarder.clock.now() >= self._hold_end:
                 raise decisions.RequestFailedError(decisions.NO_SERVING_NODE)
-            yield decisions.sleep(forwarder.clock, LOOK_AGAIN_S)
+            yield decisions.sleep(forwarder.clock, STREAM_POLL_S)
 
-    def may_go_on(self, reply: _links.Reply) -> bool:
+    def may_try_another(self, reply: _links.Reply) -> bool:
         """Whether what a reply says did not run is sent to another node."""
-        if reply.reason not in ELSEWHERE:
+        if reply.reason not in RETRY_ELSEWHERE:
             return False
         end = self._hold_end
         if reply.reason is decisions.READ_CUT:
             end = self._request.retry_until
         if self._forwarder.clock.now() >= end:
             return False
-        if not self._has_sought:
+        if not self._has_opened_streams:
             return True
         return self._choose() is not None
 
@@ -127,11 +129,11 @@
             self._service, self._tried, self._request.caller.team
         )
 
-    def _seek(self) -> None:
+    def _open_streams(self) -> None:
         """Connects to serving nodes that there is no stream to, once."""
-        self._has_sought = True
-        self._forwarder.seek()
-        seek_end = self._forwarder.clock.now() + SEEK_S
+        self._has_opened_streams = True
+        self._forwarder.open_streams()
+        seek_end = self._forwarder.clock.now() + STREAM_OPEN_WAIT_S
         self._hold_end = max(
             self._hold_end, min(self._request.deadline, seek_end)
         )
@@ -157,16 +159,16 @@
     limit = max(0.0, request.deadline - sent) + ANSWER_MARGIN_S
     request.progress.via = stream.peer
     fut = stream.call(body)
-    if lost in FREE_TO_LEAVE:
-        fut = decisions.start(_unless_quiet(clock, stream, fut))
+    if lost in SAFE_TO_ABANDON:
+        fut = decisions.start(_fail_if_silent(clock, stream, fut))
     try:
-        answer: _peer_messages.Message = yield decisions.within(
+        answer: _peer_messages.Message = yield decisions.with_timeout(
             clock, limit, fut
         )
     except decisions.TimeoutExpiredError:
         return _failed(lost, f"{stream.peer} did not answer in time")
     except _peers.PeerLostError as exc:
-        reason = lost if exc.sent else _unsent(body)
+        reason = lost if exc.sent else _unsent_reason(body)
         return _failed(reason, f"{stream.peer} is lost: {exc}")
     if not isinstance(answer, _forward_messages.RunReply):
         return _failed(lost, f"{stream.peer} sent another answer")
@@ -174,7 +176,7 @@
     return answer.reply()
 
 
-def _unless_quiet(
+def _fail_if_silent(
     clock: _clocks.Clock,
     stream: _forwarder.Stream,
     fut: "decisions.Future[_peer_messages.Message]",
@@ -185,15 +187,17 @@
         PeerLostError: The peer fell silent; a read may be asked elsewhere.
     """
     while not fut.done():
-        left_s = max(LEAST_PAUSE_S, _forwarder.QUIET_S - stream.owed_s)
+        left_s = max(
+            MIN_SILENCE_POLL_S, _forwarder.SILENT_PEER_S - stream.unresponsive_s
+        )
         pause = decisions.sleep(clock, left_s)
-        yield decisions.either(decisions.settled(fut), pause)
-        if not fut.done() and stream.owed_s >= _forwarder.QUIET_S:
+        yield decisions.first_completed(decisions.settled(fut), pause)
+        if not fut.done() and stream.unresponsive_s >= _forwarder.SILENT_PEER_S:
             raise _peers.PeerLostError(f"{stream.peer} is silent")
     return fut.result()
 
 
-def _unsent(body: _forward_messages.RunRequest) -> decisions.Reason:
+def _unsent_reason(body: _forward_messages.RunRequest) -> decisions.Reason:
     """Returns the reason for what never left this node."""
     if body.transaction and not body.begins:
         return decisions.TRANSACTION_LOST
@@ -221,7 +225,7 @@
         self._number = 0
         self._wrote = False
         self.failure: decisions.Reason | None = None
-        self.used = forwarder.clock.now()
+        self.last_used_at = forwarder.clock.now()
 
     @property
     def wrote(self) -> bool:
@@ -239,7 +243,7 @@
             reply = yield from self._open(request)
         else:
             reply = yield from self._send(request, self._stream, False)
-        self.used = self._forwarder.clock.now()
+        self.last_used_at = self._forwarder.clock.now()
         if reply.reason is not None:
             self.fail(reply.reason)
         elif request.statement.kind is _statements.Kind.COMMIT:
@@ -261,7 +265,7 @@
     def _release(self) -> _forwarder.Stream | None:
         stream, self._stream = self._stream, None
         if stream is not None:
-            stream.held -= 1
+            stream.open_transactions -= 1
         return stream
 
     def _open(
@@ -273,9 +277,9 @@
             stream = yield from search.next()
             self._number = next(_numbers)
             self._stream = stream
-            stream.held += 1
+            stream.open_transactions += 1
             reply = yield from self._send(request, stream, True)
-            if not search.may_go_on(reply):
+            if not search.may_try_another(reply):
                 return reply
             self.roll_back()
 
@@ -288,9 +292,13 @@
         if request.writes:
             self._wrote = True
         is_commit = request.statement.kind is _statements.Kind.COMMIT
-        unsure = is_commit and self._wrote
+        may_have_committed = is_commit and self._wrote
         # A stream that ends makes the serving node roll back.
-        lost = decisions.ANSWER_LOST if unsure else decisions.TRANSACTION_LOST
+        lost = (
+            decisions.ANSWER_LOST
+            if may_have_committed
+            else decisions.TRANSACTION_LOST
+        )
         body = _forward_messages.RunRequest.of(
             request,
             self._forwarder.clock.now(),
--- a/packages/proxy/src/ferry_proxy/_gauges.py
+++ b/packages/proxy/src/ferry_proxy/_gauges.py
@@ -4,12 +4,12 @@
 
 import attrs
 
-from ferry_proxy import _allowances
 from ferry_proxy import _catalogue
 from ferry_proxy import _currency
 from ferry_proxy import _followers
 from ferry_proxy import _mesh
 from ferry_proxy import _metrics
+from ferry_proxy import _rate_limiter
 
 
 @attrs.frozen(slots=True)
@@ -19,7 +19,7 @@
     catalogue: _catalogue.Catalogue
     follower: _followers.Follower
     mesh: _mesh.Mesh
-    allowances: _allowances.Allowances
+    rate_limiter: _rate_limiter.RateLimiter
     currency: _currency.Currency
 
 
@@ -44,7 +44,7 @@
         "configuration_version": lambda: catalogue.version,
         "configuration_version_told": lambda: sources.currency.told_version,
         "documents_refused": lambda: catalogue.refused,
-        "limit_share": lambda: sources.allowances.share,
+        "limit_share": lambda: sources.rate_limiter.share,
         "peers": lambda: len(sources.mesh.connected),
     }
     for name, read in gauges.items():
--- a/packages/proxy/src/ferry_proxy/_grace.py
+++ b/packages/proxy/src/ferry_proxy/_grace.py
@@ -3,7 +3,7 @@
 from ferry_proxy import _clocks
 
 
-class ReturnGrace:
+class GracePeriod:
     """The time in which writers of entries come back to the store.
 
     Answers a store that was away, in which entries have lapsed, or that came
--- a/packages/proxy/src/ferry_proxy/_groups.py
+++ b/packages/proxy/src/ferry_proxy/_groups.py
@@ -6,6 +6,7 @@
 
 from ferry_proxy import _clocks
 from ferry_proxy import _configuration
+from ferry_proxy import _control_commands
 from ferry_proxy import _events
 from ferry_proxy import _freshness
 from ferry_proxy import _links
@@ -13,11 +14,14 @@
 from ferry_proxy import _policy
 from ferry_proxy import _pools
 from ferry_proxy import _proofs
-from ferry_proxy import _questions
 from ferry_proxy import _queueing
 
-ROUND_S = 0.12  # Calm members answer in 5 ms; waiting readers need a floor.
-FLUX_S = 10.0  # Members are replaced one after the other, seconds apart.
+STATUS_ROUND_S = (
+    0.12  # Calm members answer in 5 ms; waiting readers need a floor.
+)
+MEMBERSHIP_CHANGE_S = (
+    10.0  # Members are replaced one after the other, seconds apart.
+)
 
 
 class Group:
@@ -35,7 +39,9 @@
         self._connector = connector
         self._policy = policy
         self._data_centre = data_centre
-        self._questions = _questions.Questions(clock, policy)
+        self._control_commands = _control_commands.ControlCommands(
+            clock, policy
+        )
         self._proofs = _proofs.Proofs(clock, self)
         self._rounds = decisions.SharedRounds(self._round)
         self._changed: decisions.Future[None] = decisions.Future()
@@ -46,14 +52,14 @@
         self.term = 0
         self.floors = _freshness.Floors()
         self.last_leader = ""
-        self.round_at = float("-inf")
+        self.last_round_at = float("-inf")
         self.leaderless_since = self.changed_at = clock.now()
-        self.vanished: dict[str, _members.Vanished] = {}
-        self.lives_ended: dict[str, float] = {}
+        self.removed_members: dict[str, _members.RemovedMember] = {}
+        self.restarted_at: dict[str, float] = {}
         self._asking: set[str] = set()
-        self._turn = 0
-        self.change_until = self.settled_at = float("-inf")
-        self.joined_at = float("-inf")
+        self._next_replica = 0
+        self.primary_change_until = self.leader_found_at = float("-inf")
+        self.member_joined_at = float("-inf")
         self.on_round: list[Callable[[dict[str, _members.Report]], object]] = []
 
     # -- members ---------------------------------------------------------
@@ -75,18 +81,18 @@
         if self.pools.keys() != members.keys():
             self.changed_at = now
         if self.pools and members.keys() - self.pools.keys():
-            self.joined_at = now
+            self.member_joined_at = now
         for name in self.pools.keys() - members.keys():
             self._remove(name)
         for name, member in members.items():
             pool = self.pools.get(name)
-            if pool is not None and member.is_next_life_of(pool.member):
-                self._end_life(pool)
+            if pool is not None and member.is_restart_of(pool.member):
+                self._forget_restarted(pool)
                 pool = None
-            elif pool is not None and _moved(pool.member, member):
+            elif pool is not None and _has_new_address(pool.member, member):
                 pool.close()
                 pool = None
-            self.vanished.pop(name, None)
+            self.removed_members.pop(name, None)
             if pool is None:
                 pool = self.pools[name] = self.open_pool(member, limit)
             else:
@@ -114,11 +120,13 @@
         pool = self.pools.pop(name)
         pool.close()
         self._last_report.pop(name, None)
-        self.vanished[name] = _members.Vanished(pool.member, self._clock.now())
+        self.removed_members[name] = _members.RemovedMember(
+            pool.member, self._clock.now()
+        )
         if self.leader is not None and self.leader.member == name:
             self._lose_leader()
 
-    def _end_life(self, pool: _pools.Pool) -> None:
+    def _forget_restarted(self, pool: _pools.Pool) -> None:
         """Drops all that is believed of a member that began again.
 
         Its next life is no longer paused, and may be empty. It counts as a
@@ -127,7 +135,7 @@
         name = pool.member.id
         pool.close()
         self._last_report.pop(name, None)
-        self.joined_at = self.lives_ended[name] = self._clock.now()
+        self.member_joined_at = self.restarted_at[name] = self._clock.now()
         if self.leader is not None and self.leader.member == name:
             self._lose_leader()
 
@@ -146,26 +154,26 @@
         return max(0, len(self.pools) - 1)
 
     @property
-    def renewed(self) -> int:
+    def recently_restarted(self) -> int:
         """How many members began again a short while ago."""
-        late = self._clock.now() - FLUX_S
-        return sum(at > late for at in self.lives_ended.values())
+        late = self._clock.now() - MEMBERSHIP_CHANGE_S
+        return sum(at > late for at in self.restarted_at.values())
 
     @property
     def proof_size(self) -> int:
         """How many replicas prove that a primary still leads."""
-        replicas = self.replicas + self.renewed
+        replicas = self.replicas + self.recently_restarted
         return _freshness.proof_size(replicas, self.service.sync_replicas)
 
     @property
-    def is_in_flux(self) -> bool:
+    def is_membership_changing(self) -> bool:
         """Whether members come and go; more may have come than are listed."""
         if any(p.member.draining for p in self.pools.values()):
             return True
-        return self._clock.now() - self.joined_at < FLUX_S
+        return self._clock.now() - self.member_joined_at < MEMBERSHIP_CHANGE_S
 
     @property
-    def is_changing(self) -> bool:
+    def is_primary_changing(self) -> bool:
         """Whether a change of primary is believed to be under way or near.
 
         A primary that has fallen silent is back or replaced within a second
@@ -173,13 +181,15 @@
         that is silent for longer is not being replaced, and nobody waits.
         """
         now = self._clock.now()
-        if now < self.change_until:
+        if now < self.primary_change_until:
             return True
         limit_s = self._policy.promote_wait_s
         pool = self.leader_pool
         if pool is None:
             return now - self.leaderless_since < limit_s
-        return pool.contact.is_quiet and pool.contact.unanswered_s < limit_s
+        return (
+            pool.contact.is_unresponsive and pool.contact.unanswered_s < limit_s
+        )
 
     @property
     def floor_age_s(self) -> float:
@@ -190,9 +200,9 @@
         return self._clock.boot_now() - newest.at
 
     @property
-    def is_troubled(self) -> bool:
+    def has_failed_contact(self) -> bool:
         """Whether contact with a member failed and has not come back."""
-        return any(p.contact.troubled_s > 0 for p in self.pools.values())
+        return any(p.contact.link_failing_s > 0 for p in self.pools.values())
 
     def is_near(self, pool: _pools.Pool) -> bool:
         """Whether a member is in this node's data centre."""
@@ -200,16 +210,18 @@
 
     def is_responsive(self, pool: _pools.Pool) -> bool:
         """Whether a member answers what it is sent, as far as is known."""
-        return not pool.is_unreachable and not pool.contact.is_quiet
+        return not pool.is_unreachable and not pool.contact.is_unresponsive
 
-    def expect_change(self) -> None:
+    def expect_primary_change(self) -> None:
         """Notes that a change of primary has begun."""
-        self.change_until = self._clock.now() + self._policy.promote_wait_s
+        self.primary_change_until = (
+            self._clock.now() + self._policy.promote_wait_s
+        )
 
     def until_leader_changes(self, limit_s: float) -> "decisions.Future[None]":
         """Returns a future that is done at a new leader or after a time."""
         timer = decisions.sleep(self._clock, limit_s)
-        return decisions.either(self._changed, timer)
+        return decisions.first_completed(self._changed, timer)
 
     # -- questions -------------------------------------------------------
 
@@ -232,7 +244,7 @@
         Raises:
             decisions.RequestFailedError: The member did not report.
         """
-        report = yield from self._questions.ask(pool, command)
+        report = yield from self._control_commands.ask(pool, command)
         self._last_report[pool.member.id] = report
         return report
 
@@ -243,50 +255,51 @@
     # -- rounds ----------------------------------------------------------
 
     def _round(self) -> "decisions.Flow[dict[str, _members.Report]]":
-        """Asks for at most `ROUND_S`; later answers are still taken in."""
-        self.round_at = self._clock.now()
+        """Asks for at most `STATUS_ROUND_S`; later answers are still taken in."""
+        self.last_round_at = self._clock.now()
         reports: dict[str, _members.Report] = {}
         futs = [
-            decisions.start(self._ask_twice(pool, reports))
-            for pool in self._to_ask()
+            decisions.start(self._ask_with_retry(pool, reports))
+            for pool in self._members_to_ask()
         ]
         enough = decisions.settle_all(
             futs, lambda _: self._sample(reports) is not None
         )
-        yield decisions.either(
-            decisions.settled(enough), decisions.sleep(self._clock, ROUND_S)
+        yield decisions.first_completed(
+            decisions.settled(enough),
+            decisions.sleep(self._clock, STATUS_ROUND_S),
         )
-        self._take_round(reports)
+        self._apply_reports(reports)
         late = decisions.settle_all(futs, lambda _: False)
         late.add_done_callback(lambda _: self._end_round(reports))
         return reports
 
-    def _to_ask(self) -> list[_pools.Pool]:
+    def _members_to_ask(self) -> list[_pools.Pool]:
         """Returns the primary and one replica, by turns; all in trouble.
 
         Each question costs its member a slot for a moment.
         """
         pools = [p for n, p in self.pools.items() if n not in self._asking]
         leader = self.leader_pool
-        calm = leader is not None and not self.is_changing
+        calm = leader is not None and not self.is_primary_changing
         if leader is None or not calm or not self.is_responsive(leader):
             return pools
         others = [p for p in pools if p is not leader]
         responsive = [p for p in others if self.is_responsive(p)]
         asked = [leader] if leader in pools else []
-        self._turn += 1
+        self._next_replica += 1
         late = self._clock.now() - self._policy.idle_probe_s
         unheard = [
             p
             for p in others
-            if p.contact.heard < late or p.contact.troubled_s > 0
+            if p.contact.heard < late or p.contact.link_failing_s > 0
         ]
         for number in range(min(self.proof_size, len(responsive))):
-            turn = (self._turn + number) % len(responsive)
+            turn = (self._next_replica + number) % len(responsive)
             asked.append(responsive[turn])
         return list(dict.fromkeys([*asked, *unheard])) if responsive else pools
 
-    def _ask_twice(
+    def _ask_with_retry(
         self, pool: _pools.Pool, reports: dict[str, _members.Report]
     ) -> "decisions.Flow[None]":
         """Asks again over another link: one lost link is no lost member."""
@@ -302,18 +315,18 @@
             self._asking.discard(name)
         reports[name] = report
 
-    def _take_round(self, reports: dict[str, _members.Report]) -> None:
-        self._find_leader(reports)
+    def _apply_reports(self, reports: dict[str, _members.Report]) -> None:
+        self._update_leader(reports)
         sample = self._sample(reports)
         if sample is not None and self.leader is not None:
             self.floors.add(sample, self.leader.term)
 
     def _end_round(self, reports: dict[str, _members.Report]) -> None:
-        self._take_round(reports)
+        self._apply_reports(reports)
         for callback in self.on_round:
             callback(reports)
 
-    def take_survey(
+    def apply_survey(
         self,
         leader: _members.Leader,
         sample: _freshness.Sample,
@@ -341,7 +354,7 @@
             return None
         return _freshness.sample_of(self.leader, reports, self.proof_size)
 
-    def _find_leader(self, reports: dict[str, _members.Report]) -> None:
+    def _update_leader(self, reports: dict[str, _members.Report]) -> None:
         for name, report in reports.items():
             self.term = max(self.term, report.term)
             if report.role is _members.Role.PRIMARY:
@@ -367,17 +380,17 @@
         before = self.pools.get(self.last_leader)
         self.leader = leader
         self.last_leader = leader.member
-        self.settled_at = self._clock.now()
+        self.leader_found_at = self._clock.now()
         self.term = leader.term
-        self.change_until = float("-inf")
+        self.primary_change_until = float("-inf")
         _events.emit(
             _events.LeaderFound(self.service.name, leader.member, leader.term)
         )
         if before is not None and before is not self.leader_pool:
-            before.turn_away()
+            before.reject_callers()
         changed, self._changed = self._changed, decisions.Future()
         decisions.resolve(changed, None)
 
 
-def _moved(before: _members.Member, after: _members.Member) -> bool:
+def _has_new_address(before: _members.Member, after: _members.Member) -> bool:
     return (before.host, before.port) != (after.host, after.port)
--- a/packages/proxy/src/ferry_proxy/_read_races.py
+++ b/packages/proxy/src/ferry_proxy/_hedged_reads.py
@@ -15,10 +15,10 @@
 from ferry_proxy import _pools
 
 MAX_HEDGES = 2  # Further members that a read is asked at while one is silent.
-SILENT_LINK_S = 2.0  # A link without an answer for so long is closed.
+SILENT_LINK_TIMEOUT_S = 2.0  # A link without an answer for so long is closed.
 
 
-class ReadRace:
+class HedgedRead:
     """A read asked at one member, and at others when that one is silent."""
 
     def __init__(
@@ -35,22 +35,22 @@
         self._tried: set[str] = set()
         self._running = 0
         self._hedges = 0
-        self._behind = 0
+        self._behind_replies = 0
         self.outcome: decisions.Future[_links.Reply] = decisions.Future()
-        clock.after(job.route.timeout_s, self._expire)
-        self._launch()
+        clock.after(job.route.timeout_s, self._time_out)
+        self._start_attempt()
 
-    def _launch(self) -> None:
+    def _start_attempt(self) -> None:
         self._running += 1
         fut = decisions.start(self._attempt())
-        fut.add_done_callback(self._take)
+        fut.add_done_callback(self._on_attempt_done)
 
     def _attempt(self) -> "decisions.Flow[_links.Reply]":
         job = self._job
         target = yield from self._executor.target(job, self._tried)
         pool = target.pool
         self._tried.add(pool.member.id)
-        taken = yield pool.acquire(
+        pooled = yield pool.acquire(
             _pools.Use.STATEMENT,
             job.route.priority,
             job.hold_end(self._policy),
@@ -58,35 +58,35 @@
             job.caller.team,
         )
         if self.outcome.done():
-            pool.release(taken)
+            pool.release(pooled)
             raise decisions.RequestFailedError(decisions.CANCELED)
         hedge_s = job.route.target_s * self._policy.hedge_share
         self._clock.after(hedge_s, self._hedge)
         begun = self._clock.now()
-        fut = self._executor.send(job, pool, taken, target.floor)
-        self._close_if_silent(pool, taken, fut)
+        fut = self._executor.send(job, pool, pooled, target.floor)
+        self._close_if_silent(pool, pooled, fut)
         try:
             reply: _links.Reply = yield fut
         except _links.LinkLostError as exc:
-            pool.discard(taken)
+            pool.discard(pooled)
             raise decisions.RequestFailedError(
                 decisions.READ_CUT, str(exc)
             ) from exc
-        pool.note_heard(taken, self._clock.now() - begun)
-        pool.give_back(taken, reply)
+        pool.note_heard(pooled, self._clock.now() - begun)
+        pool.give_back(pooled, reply)
         return reply
 
     def _close_if_silent(
         self,
         pool: _pools.Pool,
-        taken: _pooled_links.PooledLink,
+        pooled: _pooled_links.PooledLink,
         fut: "decisions.Future[_links.Reply]",
     ) -> None:
         def check() -> None:
             if not fut.done():
-                pool.discard(taken)
+                pool.discard(pooled)
 
-        limit = max(SILENT_LINK_S, self._job.route.timeout_s)
+        limit = max(SILENT_LINK_TIMEOUT_S, self._job.route.timeout_s)
         timer = self._clock.after(limit, check)
         fut.add_done_callback(lambda _: timer.cancel())
 
@@ -96,9 +96,9 @@
             return
         if self._hedges < MAX_HEDGES:
             self._hedges += 1
-            self._launch()
+            self._start_attempt()
 
-    def _take(self, fut: "decisions.Future[_links.Reply]") -> None:
+    def _on_attempt_done(self, fut: "decisions.Future[_links.Reply]") -> None:
         self._running -= 1
         if self.outcome.done():
             return
@@ -114,7 +114,7 @@
         elif self._running:
             return  # Another member may still answer.
         elif self._may_retry(reply, exc):
-            self._clock.after(self._pause(reply, exc), self._relaunch)
+            self._clock.after(self._retry_delay_s(reply, exc), self._retry)
         elif reply is not None:
             decisions.resolve(self.outcome, reply)
         else:
@@ -135,7 +135,7 @@
             return now < max(job.retry_until, job.hold_end(self._policy))
         return now < job.hold_end(self._policy)
 
-    def _pause(
+    def _retry_delay_s(
         self, reply: _links.Reply | None, exc: BaseException | None
     ) -> float:
         """Returns how long to wait: not at all while members are untried."""
@@ -145,8 +145,8 @@
         if failure is not None and failure.reason is decisions.NO_PRIMARY:
             return _execution.NO_FLOOR_PAUSE_S
         if reply is not None and reply.reason is decisions.BEHIND:
-            self._behind += 1
-            if self._behind >= len(self._job.group.pools):
+            self._behind_replies += 1
+            if self._behind_replies >= len(self._job.group.pools):
                 self._tried.clear()
                 return _execution.NO_FLOOR_PAUSE_S
         untried = self._job.group.pools.keys() - self._tried
@@ -155,11 +155,11 @@
         self._tried.clear()
         return _execution.RETRY_PAUSE_S
 
-    def _relaunch(self) -> None:
+    def _retry(self) -> None:
         if not self.outcome.done():
-            self._launch()
+            self._start_attempt()
 
-    def _expire(self) -> None:
+    def _time_out(self) -> None:
         reason = decisions.OVERLOADED
         decisions.reject(
             self.outcome,
--- a/packages/proxy/src/ferry_proxy/_jobs.py
+++ b/packages/proxy/src/ferry_proxy/_jobs.py
@@ -38,13 +38,15 @@
     def hold_end(self, policy: _policy.Policy) -> float:
         """Returns until when it may wait for a member, in clock seconds."""
         group = self.group
-        return self.hold_until(policy, group.is_changing, group.settled_at)
+        return self.hold_until(
+            policy, group.is_primary_changing, group.leader_found_at
+        )
 
-    def note_handed(self, member: str, now: float) -> None:
+    def note_dispatched(self, member: str, now: float) -> None:
         """Takes in that it goes to a member now."""
         leader = self.group.leader
         at_replica = leader is None or leader.member != member
-        self.progress.note_handed(member, at_replica, now)
+        self.progress.note_dispatched(member, at_replica, now)
 
     def command(
         self, floor: decisions.Position | None, prepared_as: str
--- a/packages/proxy/src/ferry_proxy/_limits.py
+++ b/packages/proxy/src/ferry_proxy/_limits.py
@@ -56,7 +56,7 @@
         return taken
 
 
-def first_tokens(
+def initial_tokens(
     limit: _teams.Limit, window_s: float, overage: float, slack: float
 ) -> float:
     """Returns what a keeper begins with that knows of nothing before.
--- a/packages/proxy/src/ferry_proxy/_link_choice.py
+++ b/packages/proxy/src/ferry_proxy/_link_choice.py
@@ -11,21 +11,25 @@
 
 from ferry_proxy import _pooled_links
 
-MEMORY_S = 4.0  # Uses are forgotten so fast; a wave of traffic takes 11 s, and
+USE_DECAY_S = (
+    4.0  # Uses are forgotten so fast; a wave of traffic takes 11 s, and
+)
 # a team that sends ten statements a second is known within half a second.
-UNUSED_S = 5.0  # A new connection costs 12 ms of a slot; bursts last seconds.
-KEPT_LINKS = 2  # One for statements, one for status questions.
-NOTHING = 0.01  # A use of 18 s ago.
+IDLE_LINK_S = (
+    5.0  # A new connection costs 12 ms of a slot; bursts last seconds.
+)
+MIN_IDLE_LINKS = 2  # One for statements, one for status questions.
+MIN_USE_WEIGHT = 0.01  # A use of 18 s ago.
 
 PooledLink = _pooled_links.PooledLink
 
 
-def for_question(idle: Collection[PooledLink]) -> PooledLink | None:
+def for_control(idle: Collection[PooledLink]) -> PooledLink | None:
     """Returns the link for a question of ours: whichever was silent longest.
 
     A question is asked in nobody's name, and checks the link as well.
     """
-    return min(idle, key=lambda t: t.heard, default=None)
+    return min(idle, key=lambda t: t.last_reply_at, default=None)
 
 
 def for_team(
@@ -40,7 +44,7 @@
     """
     return min(
         (t for t in idle if t.team == team),
-        key=lambda t: (t.distance(values), -t.heard),
+        key=lambda t: (t.distance(values), -t.last_reply_at),
         default=None,
     )
 
@@ -52,12 +56,12 @@
         idle: The links that are free.
         now: The time, in the clock's seconds.
     """
-    spare = max(0, len(idle) - KEPT_LINKS)
-    oldest = sorted(idle, key=lambda t: t.used)[:spare]
-    return [t for t in oldest if t.used < now - UNUSED_S]
+    spare = max(0, len(idle) - MIN_IDLE_LINKS)
+    oldest = sorted(idle, key=lambda t: t.last_used_at)[:spare]
+    return [t for t in oldest if t.last_used_at < now - IDLE_LINK_S]
 
 
-class Uses:
+class TeamUsage:
     """How often teams have asked for a pool's links lately."""
 
     def __init__(self) -> None:
@@ -75,17 +79,17 @@
 
     def _fade(self, now: float) -> None:
         """Forgets a part; what is next to nothing is dropped."""
-        factor = math.exp((self._at - now) / MEMORY_S)
+        factor = math.exp((self._at - now) / USE_DECAY_S)
         self._at = now
         self._weights = {
             team: weight * factor
             for team, weight in self._weights.items()
-            if weight * factor > NOTHING
+            if weight * factor > MIN_USE_WEIGHT
         }
 
 
 def to_close(
-    idle: Collection[PooledLink], uses: Uses, waited_for: Collection[str]
+    idle: Collection[PooledLink], uses: TeamUsage, waited_for: Collection[str]
 ) -> PooledLink | None:
     """Returns the link that makes room: the one likely to be idle longest.
 
@@ -105,7 +109,7 @@
             t.team in waited_for,
             counts[t.team] == 1,
             uses.of(t.team),
-            t.used,
+            t.last_used_at,
         ),
         default=None,
     )
--- a/packages/proxy/src/ferry_proxy/_link_queue.py
+++ b/packages/proxy/src/ferry_proxy/_link_queue.py
@@ -40,7 +40,7 @@
     fut: "decisions.Future[_pooled_links.PooledLink]"
 
     @property
-    def is_gone(self) -> bool:
+    def is_done(self) -> bool:
         """Whether it waits no longer."""
         return self.fut.done()
 
@@ -58,7 +58,7 @@
 
     def __iter__(self) -> Iterator[Waiter]:
         """Yields those who wait, in no order."""
-        return (w for _, _, w in self._entries if not w.is_gone)
+        return (w for _, _, w in self._entries if not w.is_done)
 
     @property
     def teams(self) -> set[str]:
@@ -71,7 +71,7 @@
 
     def in_order(self) -> list[Waiter]:
         """Returns those who wait, the first in front; forgets the others."""
-        self._entries = sorted(e for e in self._entries if not e[2].is_gone)
+        self._entries = sorted(e for e in self._entries if not e[2].is_done)
         return [w for _, _, w in self._entries]
 
     def ahead_of(self, rank: int) -> int:
--- a/packages/proxy/src/ferry_proxy/_link_room.py
+++ b/packages/proxy/src/ferry_proxy/_link_room.py
@@ -10,10 +10,12 @@
 
 import attrs
 
-GROW_S = 0.15  # Between two more links: nodes that begin within 0.3 s of each
+GROWTH_INTERVAL_S = (
+    0.15  # Between two more links: nodes that begin within 0.3 s of each
+)
 # other each get a first one before any gets a third.
 FULL_BACKOFF_S = 0.1  # The member is well, and has room once a link is closed.
-FULL_S = 0.5  # For so long no link is added once a member has no room.
+NO_GROWTH_S = 0.5  # For so long no link is added once a member has no room.
 
 
 @attrs.define(slots=True, eq=False)
@@ -22,16 +24,16 @@
 
     Attributes:
         begun: When the pool began, in the clock's seconds.
-        fills_up: Whether all links are in use at all times, as where each is
+        is_limited: Whether all links are in use at all times, as where each is
             a team's own; elsewhere few are, and nothing has to be held back.
         full_until: Until when the member is taken to have no room.
         most: How many links there may be until then.
     """
 
-    begun: float
-    fills_up: bool
+    created_at: float
+    is_limited: bool
     full_until: float = float("-inf")
-    most: int = 0
+    max_while_full: int = 0
 
     def note_full(self, size: int, now: float) -> None:
         """Takes in that the member has no room for another link.
@@ -42,8 +44,8 @@
             size: Links that are open or being opened.
             now: The time.
         """
-        self.full_until = now + FULL_S
-        self.most = max(1, size - 1)
+        self.full_until = now + NO_GROWTH_S
+        self.max_while_full = max(1, size - 1)
 
     def bound(self, limit: int, now: float) -> int:
         """Returns how many links there may be.
@@ -52,8 +54,8 @@
             limit: The node's part of the member's connections.
             now: The time.
         """
-        if not self.fills_up:
+        if not self.is_limited:
             return limit
         if now < self.full_until:
-            return min(limit, self.most)
-        return min(limit, 1 + int((now - self.begun) / GROW_S))
+            return min(limit, self.max_while_full)
+        return min(limit, 1 + int((now - self.created_at) / GROWTH_INTERVAL_S))
--- a/packages/proxy/src/ferry_proxy/_links.py
+++ b/packages/proxy/src/ferry_proxy/_links.py
@@ -164,9 +164,9 @@
         handed: Whether the command may have reached the member.
     """
 
-    def __init__(self, detail: str, handed: bool = True) -> None:
+    def __init__(self, detail: str, was_sent: bool = True) -> None:
         super().__init__(detail)
-        self.handed = handed
+        self.was_sent = was_sent
 
 
 class ConnectFailedError(Exception):
--- a/packages/proxy/src/ferry_proxy/_lost_nodes.py
+++ b/packages/proxy/src/ferry_proxy/_lost_nodes.py
@@ -15,9 +15,9 @@
 from ferry_proxy import _records
 from ferry_proxy import _store
 
-LOST_S = 15.0  # Longer than restarts, freezes and most partitions last.
-MOST = 0.5  # A node that reaches fewer of its peers judges nobody.
-LATELY_S = 2.0  # Peers that were heard within this are reached.
+REMOVE_AFTER_S = 15.0  # Longer than restarts, freezes and most partitions last.
+MIN_REACHED_SHARE = 0.5  # A node that reaches fewer of its peers judges nobody.
+REACHED_WITHIN_S = 2.0  # Peers that were heard within this are reached.
 
 
 class LostNodes:
@@ -30,7 +30,7 @@
         store: _store.Store,
         catalogue: _catalogue.Catalogue,
         follower: _followers.Follower,
-        mesh: _mesh.Reached,
+        mesh: _mesh.Connectivity,
     ) -> None:
         self._clock = clock
         self._own = own
@@ -50,12 +50,14 @@
             self._watched = watched
             self._missing_since = now
             return
-        if now - self._missing_since > LOST_S:
+        if now - self._missing_since > REMOVE_AFTER_S:
             self._missing_since = now
             self._remove(watched)
 
     def _may_judge(self) -> bool:
-        reached = self._mesh.reached_share(LATELY_S) >= MOST
+        reached = (
+            self._mesh.reached_share(REACHED_WITHIN_S) >= MIN_REACHED_SHARE
+        )
         return reached and self._follower.is_connected
 
     def _remove(self, node: str) -> None:
--- a/packages/proxy/src/ferry_proxy/_member_entries.py
+++ b/packages/proxy/src/ferry_proxy/_member_entries.py
@@ -39,7 +39,7 @@
         members: The members that are listed.
     """
 
-    def __init__(self, ctx: EntriesContext, grace: _grace.ReturnGrace) -> None:
+    def __init__(self, ctx: EntriesContext, grace: _grace.GracePeriod) -> None:
         self._ctx = ctx
         self._grace = grace
         self._births: dict[str, int] = {}
@@ -138,7 +138,7 @@
 
 def _change(known: _members.Member | None, member: _members.Member) -> str:
     """Returns what a member's new entry says, in one word for the log."""
-    if known is not None and member.is_next_life_of(known):
+    if known is not None and member.is_restart_of(known):
         return "born again"
     return "draining" if member.draining else "seen"
 
--- a/packages/proxy/src/ferry_proxy/_members.py
+++ b/packages/proxy/src/ferry_proxy/_members.py
@@ -37,7 +37,7 @@
     born: int = 0
     sequence: int = attrs.field(default=0, eq=False)
 
-    def is_next_life_of(self, known: "Member") -> bool:
+    def is_restart_of(self, known: "Member") -> bool:
         """Whether it began again after `known` was written.
 
         It then holds and knows nothing of what that life held.
@@ -101,7 +101,7 @@
 
 
 @attrs.frozen(slots=True)
-class Vanished:
+class RemovedMember:
     """A member that is listed no more, and may live on all the same.
 
     Attributes:
--- a/packages/proxy/src/ferry_proxy/_mesh.py
+++ b/packages/proxy/src/ferry_proxy/_mesh.py
@@ -23,7 +23,7 @@
 # lost, and the kernel sends the next one a second later.
 
 
-class Reached(typing.Protocol):
+class Connectivity(typing.Protocol):
     """What a node knows of which others it reaches."""
 
     @property
@@ -50,7 +50,7 @@
         """
         self._loop = loop
         self._own = own
-        self._desk: _peers.Desk = _peers.NoDesk()
+        self._desk: _peers.MessageHandler = _peers.NullMessageHandler()
         self._out: dict[tuple[str, int], _peers.PeerStream] = {}
         self._in: list[_peers.PeerStream] = []
         self._ring: set[tuple[str, int]] = set()
@@ -59,7 +59,9 @@
         self._dialled: dict[tuple[str, int], float] = {}
         self._listener: runtime.Listener | None = None
 
-    def open(self, desk: _peers.Desk, ticker: decisions.Ticker) -> None:
+    def open(
+        self, desk: _peers.MessageHandler, ticker: decisions.Ticker
+    ) -> None:
         """Begins to listen.
 
         Args:
@@ -142,7 +144,7 @@
 
     def announce(self) -> None:
         """Tells all peers at once what they should know of this node."""
-        pulse = _peers.Pulse.of(self._desk.describe())
+        pulse = _peers.EncodedPing.of(self._desk.describe())
         for stream in self.streams:
             stream.tick(pulse)
 
@@ -155,16 +157,16 @@
 
     def _tick(self) -> None:
         self._in = [s for s in self._in if not s.closed]
-        pulse = _peers.Pulse.of(self._desk.describe())
+        pulse = _peers.EncodedPing.of(self._desk.describe())
         for stream in [*self._in, *self._out.values()]:
             stream.tick(pulse)
         self._dial()
 
     def _show_life(self) -> None:
         """Tells those who wait for an answer that this node works on it."""
-        owing = [s for s in self.streams if s.owes]
+        owing = [s for s in self.streams if s.has_pending_replies]
         if owing:
-            pulse = _peers.Pulse.of(self._desk.describe())
+            pulse = _peers.EncodedPing.of(self._desk.describe())
             for stream in owing:
                 stream.tick(pulse)
 
--- a/packages/proxy/src/ferry_proxy/_metrics.py
+++ b/packages/proxy/src/ferry_proxy/_metrics.py
@@ -39,7 +39,7 @@
         """Adds a value that is read when the metrics are asked for."""
         self._gauges.append((name, read, tuple(sorted(labels.items()))))
 
-    def note_request(
+    def record_request(
         self,
         route: str,
         kind: _statements.Kind,
@@ -60,7 +60,7 @@
             self._latencies[route] = found
         found.record_value(max(LOWEST_US, int(elapsed_s * 1e6)))
 
-    def note_team(self, team: str, outcome: str) -> None:
+    def record_team_statement(self, team: str, outcome: str) -> None:
         """Takes in the outcome of a team's statement.
 
         The first teams have counters of their own, the others one together:
--- a/packages/proxy/src/ferry_proxy/_peer_desk.py
+++ b/packages/proxy/src/ferry_proxy/_peer_handler.py
@@ -6,7 +6,6 @@
 
 import ferry_decisions as decisions
 
-from ferry_proxy import _allowances
 from ferry_proxy import _catalogue
 from ferry_proxy import _clocks
 from ferry_proxy import _followers
@@ -14,13 +13,16 @@
 from ferry_proxy import _members
 from ferry_proxy import _peer_messages
 from ferry_proxy import _peers
-from ferry_proxy import _reach
+from ferry_proxy import _rate_limiter
+from ferry_proxy import _reachability
 from ferry_proxy import _served_groups
 from ferry_proxy import _serving
 
 M = typing.TypeVar("M", bound=_peer_messages.Message)
 Answer = "_peer_messages.Message | decisions.Future[typing.Any] | None"
-Handler = Callable[["PeerDesk", _peers.PeerStream, typing.Any], typing.Any]
+Handler = Callable[
+    ["PeerMessageHandler", _peers.PeerStream, typing.Any], typing.Any
+]
 _handlers: dict[type[typing.Any], Handler] = {}
 
 
@@ -34,7 +36,7 @@
     return register
 
 
-class PeerDesk:
+class PeerMessageHandler:
     """Answers the messages of other nodes."""
 
     def __init__(
@@ -44,8 +46,8 @@
         follower: _followers.Follower,
         groups: _served_groups.ServedGroups,
         serving: _serving.Serving,
-        reach: _reach.Reach,
-        allowances: _allowances.Allowances,
+        reach: _reachability.Reachability,
+        rate_limiter: _rate_limiter.RateLimiter,
     ) -> None:
         self.clock = clock
         self.catalogue = catalogue
@@ -53,11 +55,11 @@
         self.groups = groups
         self.serving = serving
         self.reach = reach
-        self.allowances = allowances
+        self.rate_limiter = rate_limiter
 
     def describe(self) -> _peer_messages.Ping:
         """Returns what the peers should know of this node now."""
-        well = [n for n in self.groups.groups if self.groups.serves_well(n)]
+        well = [n for n in self.groups.groups if self.groups.can_serve(n)]
         age_s = self.follower.age_s
         covered = self.catalogue.covered
         return _peer_messages.Ping(
@@ -83,7 +85,9 @@
 
 @_handles(_peer_messages.SyncRequest)
 def _sync(
-    desk: PeerDesk, _: _peers.PeerStream, body: _peer_messages.SyncRequest
+    desk: PeerMessageHandler,
+    _: _peers.PeerStream,
+    body: _peer_messages.SyncRequest,
 ) -> _peer_messages.SyncReply:
     batch = desk.catalogue.batch_after(body.revision, body.version)
     return _peer_messages.SyncReply.of(batch)
@@ -91,7 +95,9 @@
 
 @_handles(_peer_messages.SurveyRequest)
 def _survey(
-    desk: PeerDesk, _: _peers.PeerStream, body: _peer_messages.SurveyRequest
+    desk: PeerMessageHandler,
+    _: _peers.PeerStream,
+    body: _peer_messages.SurveyRequest,
 ) -> _peer_messages.SurveyReply:
     served = desk.groups.find(body.service)
     if served is None:
@@ -101,7 +107,9 @@
 
 @_handles(_peer_messages.OpinionRequest)
 def _opinion(
-    desk: PeerDesk, _: _peers.PeerStream, body: _peer_messages.OpinionRequest
+    desk: PeerMessageHandler,
+    _: _peers.PeerStream,
+    body: _peer_messages.OpinionRequest,
 ) -> _peer_messages.OpinionReply:
     served = desk.groups.find(body.service)
     pool = served.group.pools.get(body.member) if served else None
@@ -114,7 +122,9 @@
 
 @_handles(_peer_messages.LeaderNotice)
 def _leader(
-    desk: PeerDesk, _: _peers.PeerStream, body: _peer_messages.LeaderNotice
+    desk: PeerMessageHandler,
+    _: _peers.PeerStream,
+    body: _peer_messages.LeaderNotice,
 ) -> None:
     served = desk.groups.find(body.service)
     if served is not None:
@@ -122,18 +132,18 @@
         served.group.refresh()
 
 
-@_handles(_allowances.AllowanceRequest)
+@_handles(_rate_limiter.AllowanceRequest)
 def _allow(
-    desk: PeerDesk,
+    desk: PeerMessageHandler,
     _: _peers.PeerStream,
-    body: _allowances.AllowanceRequest,
-) -> "_allowances.AllowanceReply | decisions.Future[typing.Any]":
-    return desk.allowances.answer(body)
+    body: _rate_limiter.AllowanceRequest,
+) -> "_rate_limiter.AllowanceReply | decisions.Future[typing.Any]":
+    return desk.rate_limiter.answer(body)
 
 
 @_handles(_forward_messages.RunRequest)
 def _run(
-    desk: PeerDesk,
+    desk: PeerMessageHandler,
     stream: _peers.PeerStream,
     body: _forward_messages.RunRequest,
 ) -> "decisions.Future[_forward_messages.RunReply]":
@@ -142,7 +152,7 @@
 
 @_handles(_forward_messages.EndTransaction)
 def _end(
-    desk: PeerDesk,
+    desk: PeerMessageHandler,
     stream: _peers.PeerStream,
     body: _forward_messages.EndTransaction,
 ) -> None:
--- a/packages/proxy/src/ferry_proxy/_peers.py
+++ b/packages/proxy/src/ferry_proxy/_peers.py
@@ -30,7 +30,7 @@
         self.sent = sent
 
 
-class Desk(typing.Protocol):
+class MessageHandler(typing.Protocol):
     """What a node does with what its peers send."""
 
     def describe(self) -> _peer_messages.Ping:
@@ -45,7 +45,7 @@
         """Takes in that a stream has ended."""
 
 
-class NoDesk:
+class NullMessageHandler:
     """Answers nothing: for a mesh that is not open yet."""
 
     def describe(self) -> _peer_messages.Ping:
@@ -95,7 +95,7 @@
         """The open streams by the names of the peers."""
 
 
-class Among:
+class PeerSubset:
     """Those of the connected nodes that are of some set."""
 
     def __init__(
@@ -112,7 +112,7 @@
 
 
 @attrs.frozen(slots=True)
-class Pulse:
+class EncodedPing:
     """A sign of life, encoded once for all streams.
 
     Attributes:
@@ -126,7 +126,7 @@
     short: bytes
 
     @classmethod
-    def of(cls, ping: _peer_messages.Ping) -> "Pulse":
+    def of(cls, ping: _peer_messages.Ping) -> "EncodedPing":
         """Returns the sign of life that a ping is."""
         age_s = ping.store_age_s
         age_ms = round(age_s * MS_PER_S) if age_s >= 0 else -1
@@ -158,7 +158,7 @@
         loop: runtime.EventLoop,
         stream: runtime.Stream,
         node: str,
-        desk: Desk,
+        desk: MessageHandler,
         on_change: Callable[[], object],
     ) -> None:
         """Wraps a stream, and greets the peer.
@@ -179,12 +179,12 @@
         self._numbers = itertools.count(1)
         self._heard = loop.now()
         self.peer = ""
-        self.covered = decisions.UNREAD
+        self.covered = decisions.UNREAD_REVISION
         self.version = 0
         self.store_seen = float("-inf")
         self.services: frozenset[str] = frozenset()
         self.missed: frozenset[str] = frozenset()
-        self.held = 0
+        self.open_transactions = 0
         self._forgotten = False
         stream.on_data = self._receive
         stream.on_closed = lambda exc: self._fail(str(exc))
@@ -192,7 +192,7 @@
         self._told: _peer_messages.Ping | None = None
         self._owing = 0
         self.tell(_peer_messages.Hello(node))
-        self._pulse(Pulse.of(desk.describe()))
+        self._pulse(EncodedPing.of(desk.describe()))
 
     @property
     def closed(self) -> bool:
@@ -210,7 +210,7 @@
         return self._loop.now() - self._heard
 
     @property
-    def owed_s(self) -> float:
+    def unresponsive_s(self) -> float:
         """Seconds since the peer was heard, while it owes an answer."""
         first = next(iter(self._calls.values()), None)
         if first is None:
@@ -218,14 +218,14 @@
         return self._loop.now() - max(first.sent_at, self._heard)
 
     @property
-    def waiting(self) -> int:
+    def pending_calls(self) -> int:
         """Questions to the peer that have no answer yet."""
         return len(self._calls)
 
     @property
     def is_used(self) -> bool:
         """Whether an answer or a transaction depends on the stream."""
-        return bool(self._calls or self.held)
+        return bool(self._calls or self.open_transactions)
 
     def call(
         self, body: _peer_messages.Message
@@ -243,7 +243,7 @@
         """Sends a message that has no answer."""
         self._stream.send(_peer_messages.encode(0, body))
 
-    def tick(self, pulse: Pulse) -> None:
+    def tick(self, pulse: EncodedPing) -> None:
         """Shows life, and ends a stream that shows none."""
         if self.silence_s > SILENT_S:
             self._fail("silent")
@@ -251,11 +251,11 @@
             self._pulse(pulse)
 
     @property
-    def owes(self) -> bool:
+    def has_pending_replies(self) -> bool:
         """Whether the peer waits for an answer of this node."""
         return self._owing > 0 and not self.closed
 
-    def _pulse(self, pulse: Pulse) -> None:
+    def _pulse(self, pulse: EncodedPing) -> None:
         is_same = pulse.state == self._told
         self._told = pulse.state
         self._stream.send(pulse.short if is_same else pulse.whole)
--- a/packages/proxy/src/ferry_proxy/_planned_stop.py
+++ b/packages/proxy/src/ferry_proxy/_planned_stop.py
@@ -19,10 +19,10 @@
 class FrontControl(typing.Protocol):
     """What a stop needs of the callers' side."""
 
-    def is_noticed(self) -> bool:
+    def is_out_of_rotation(self) -> bool:
         """Whether the balancer sends no new callers any more."""
 
-    def close_resting(self) -> None:
+    def close_idle(self) -> None:
         """Takes no more callers, and lets go those without a request."""
 
     def is_empty(self) -> bool:
@@ -30,23 +30,23 @@
 
 
 @attrs.frozen(slots=True)
-class Work:
+class RemainingWork:
     """What a node still has to do.
 
     Attributes:
         sessions: Its callers' sessions, as they come and go.
         serving: Other nodes' statements.
-        is_changing: Whether a change of primary is under way.
+        is_primary_changing: Whether a change of primary is under way.
     """
 
     sessions: Collection[_sessions.Session]
     serving: _serving.Serving
-    is_changing: Callable[[], bool]
+    is_primary_changing: Callable[[], bool]
 
     @property
-    def is_calm(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether nothing is under way that others wait for."""
-        return self.serving.is_idle and not self.is_changing()
+        return self.serving.is_idle and not self.is_primary_changing()
 
     def end_transactions(self) -> None:
         """Ends the transactions that rest."""
@@ -56,7 +56,10 @@
 
 
 def stop(
-    clock: _clocks.Clock, grace_s: float, front: FrontControl, work: Work
+    clock: _clocks.Clock,
+    grace_s: float,
+    front: FrontControl,
+    work: RemainingWork,
 ) -> "decisions.Flow[int]":
     """Waits until callers have left, then returns how many had not.
 
@@ -71,10 +74,10 @@
     begun = clock.now()
     half = grace_s / 2
     end = begun + grace_s - END_MARGIN_S
-    while not front.is_noticed() and clock.now() - begun < half:
+    while not front.is_out_of_rotation() and clock.now() - begun < half:
         yield decisions.sleep(clock, STEP_S)
-    while clock.now() < end and not (front.is_empty() and work.is_calm):
-        front.close_resting()
+    while clock.now() < end and not (front.is_empty() and work.is_finished):
+        front.close_idle()
         if clock.now() - begun >= half:
             work.end_transactions()
         yield decisions.sleep(clock, STEP_S)
--- a/packages/proxy/src/ferry_proxy/_policy.py
+++ b/packages/proxy/src/ferry_proxy/_policy.py
@@ -126,7 +126,7 @@
     )
 
     @property
-    def news_limit_s(self) -> float:
+    def max_store_age_s(self) -> float:
         """How often a watch of the store brings news, or ends without any."""
         return self.watch_wait_s + self.store_timeout_s
 
--- a/packages/proxy/src/ferry_proxy/_pooled_links.py
+++ b/packages/proxy/src/ferry_proxy/_pooled_links.py
@@ -32,15 +32,15 @@
     """
 
     link: _links.Link
-    heard: float
+    last_reply_at: float
     team: str = _teams.NO_TEAM
     values: dict[str, str] = attrs.field(factory=dict)
     prepared: dict[_statements.Prepared, str] = attrs.field(factory=dict)
     for_transaction: bool = False
     is_committing: bool = False
     sent_at: float | None = None
-    used: float = attrs.field(
-        default=attrs.Factory(lambda self: self.heard, takes_self=True)
+    last_used_at: float = attrs.field(
+        default=attrs.Factory(lambda self: self.last_reply_at, takes_self=True)
     )
     _next_name: int = 0
 
--- a/packages/proxy/src/ferry_proxy/_pools.py
+++ b/packages/proxy/src/ferry_proxy/_pools.py
@@ -19,7 +19,7 @@
 from ferry_proxy import _policy
 from ferry_proxy import _pooled_links
 from ferry_proxy import _queueing
-from ferry_proxy import _shown
+from ferry_proxy import _reported_position
 from ferry_proxy import _teams
 
 PooledLink = _pooled_links.PooledLink
@@ -44,17 +44,17 @@
         self._used: set[PooledLink] = set()
         self._opening: collections.Counter[str] = collections.Counter()
         self._waiters = _link_queue.LinkQueue()
-        self._uses = _link_choice.Uses()
+        self._team_usage = _link_choice.TeamUsage()
         self._room = _link_room.LinkRoom(clock.now(), policy.has_teams)
-        self._looks_again = False
+        self._is_retry_scheduled = False
         self._backoff_until = float("-inf")
         self._closed = False
         self.member = member
         self.limit = limit
         self.parallel = limit
-        self.shown = _shown.Shown(clock)
+        self.reported = _reported_position.ReportedPosition(clock)
         self.contact = _contact.Contact(clock)
-        self._drains_since: float | None = None
+        self._draining_since: float | None = None
         self.is_replaced = False
         self.note_entry(member)
 
@@ -72,14 +72,14 @@
         """Takes in how the member is listed now."""
         self.member = member
         if not member.draining:
-            self._drains_since = None
-        elif self._drains_since is None:
-            self._drains_since = self._clock.now()
+            self._draining_since = None
+        elif self._draining_since is None:
+            self._draining_since = self._clock.now()
 
     @property
-    def may_take_work(self) -> bool:
+    def accepts_statements(self) -> bool:
         """Whether it may get new statements, or has long been leaving."""
-        since = self._drains_since
+        since = self._draining_since
         if since is None:
             return True
         return self._clock.now() - since < self._policy.drain_s
@@ -131,34 +131,34 @@
         )
         fut.add_done_callback(lambda _: timer.cancel())
         if team:
-            self._uses.note(team, self._clock.now())
+            self._team_usage.note(team, self._clock.now())
         self._waiters.add(
             _link_queue.Waiter(rank, use, team, values or {}, fut)
         )
         self._serve()
         return fut
 
-    def release(self, taken: PooledLink) -> None:
+    def release(self, pooled: PooledLink) -> None:
         """Gives a link back that has no transaction open."""
-        if taken not in self._used:
+        if pooled not in self._used:
             return
-        self._used.discard(taken)
-        taken.sent_at = None
-        if taken.link.lost or self._closed:
-            taken.link.close()
+        self._used.discard(pooled)
+        pooled.sent_at = None
+        if pooled.link.lost or self._closed:
+            pooled.link.close()
         else:
-            taken.for_transaction = taken.is_committing = False
-            self._idle.append(taken)
+            pooled.for_transaction = pooled.is_committing = False
+            self._idle.append(pooled)
         self._serve()
 
-    def discard(self, taken: PooledLink) -> None:
+    def discard(self, pooled: PooledLink) -> None:
         """Closes a link that must not be used again."""
-        self.contact.note_trouble()
-        taken.link.close()
-        self.release(taken)
+        self.contact.note_link_failure()
+        pooled.link.close()
+        self.release(pooled)
 
     def exchange(
-        self, taken: PooledLink, command: _links.Command
+        self, pooled: PooledLink, command: _links.Command
     ) -> "decisions.Flow[_links.Reply]":
         """Runs a command of ours on a link; without an answer it is closed.
 
@@ -168,35 +168,35 @@
         Raises:
             decisions.RequestFailedError: No answer within `probe_timeout_s`.
         """
-        fut = taken.link.run([command])[0]
-        limit_s = max(self._policy.probe_timeout_s, self.contact.patience_s)
+        fut = pooled.link.run([command])[0]
+        limit_s = max(self._policy.probe_timeout_s, self.contact.max_reply_s)
         try:
-            reply: _links.Reply = yield decisions.within(
+            reply: _links.Reply = yield decisions.with_timeout(
                 self._clock, limit_s, fut
             )
         except (decisions.TimeoutExpiredError, _links.LinkLostError) as exc:
-            self.discard(taken)
+            self.discard(pooled)
             raise decisions.RequestFailedError(
                 decisions.ANSWER_LOST, str(exc)
             ) from exc
-        self.note_heard(taken)
-        self.shown.note(reply.position)
+        self.note_heard(pooled)
+        self.reported.note(reply.position)
         return reply
 
-    def give_back(self, taken: PooledLink, reply: _links.Reply) -> None:
+    def give_back(self, pooled: PooledLink, reply: _links.Reply) -> None:
         """Gives a link back, or closes it if its state is not idle."""
-        self.shown.note(reply.position)
+        self.reported.note(reply.position)
         if reply.state is _links.IDLE:
-            self.release(taken)
+            self.release(pooled)
         else:
-            self.discard(taken)
+            self.discard(pooled)
 
-    def note_sent(self, taken: PooledLink) -> None:
+    def note_sent(self, pooled: PooledLink) -> None:
         """Takes in that a link owes an answer from now on."""
-        taken.sent_at = self._clock.now()
+        pooled.sent_at = self._clock.now()
         self.contact.note_asked()
 
-    def note_heard(self, taken: PooledLink, elapsed_s: float = 0.0) -> None:
+    def note_heard(self, pooled: PooledLink, elapsed_s: float = 0.0) -> None:
         """Takes in that the member answered.
 
         Args:
@@ -204,8 +204,8 @@
             elapsed_s: How long a statement took; 0 for other answers.
         """
         self.contact.note_heard(elapsed_s)
-        taken.heard = self._clock.now()
-        taken.sent_at = None
+        pooled.last_reply_at = self._clock.now()
+        pooled.sent_at = None
         if self._waiters:
             self._serve()
 
@@ -215,11 +215,11 @@
         A VM without power keeps its connections at the member for seconds.
         The fewer they are, the more its successor may open at once.
         """
-        for taken in _link_choice.unneeded(self._idle, self._clock.now()):
-            self._idle.remove(taken)
-            taken.link.close()
+        for pooled in _link_choice.unneeded(self._idle, self._clock.now()):
+            self._idle.remove(pooled)
+            pooled.link.close()
 
-    def turn_away(self) -> None:
+    def reject_callers(self) -> None:
         """Sends those who wait, and resting transactions, elsewhere.
 
         The member leads no more: what waits for it would wait in vain.
@@ -229,16 +229,16 @@
                 decisions.reject(
                     waiter.fut, _link_queue.unavailable(self.member.id)
                 )
-        for taken in list(self._used):
-            if taken.for_transaction and not taken.is_committing:
-                taken.link.close()
+        for pooled in list(self._used):
+            if pooled.for_transaction and not pooled.is_committing:
+                pooled.link.close()
 
     def close(self) -> None:
         """Closes the idle links; those in use close as they come back."""
         self._closed = True
         idle, self._idle = self._idle, []
-        for taken in idle:
-            taken.link.close()
+        for pooled in idle:
+            pooled.link.close()
         for waiter in self._waiters.clear():
             decisions.reject(
                 waiter.fut, _link_queue.unavailable(self.member.id)
@@ -277,62 +277,62 @@
     def _serve(self) -> None:
         """Gives links to those who wait, in order."""
         self._idle = [t for t in self._idle if not t.link.lost]
-        lacking: collections.Counter[str] = collections.Counter()
+        missing_links: collections.Counter[str] = collections.Counter()
         for waiter in self._waiters.in_order():
-            if waiter.is_gone:
+            if waiter.is_done:
                 continue  # Who got a link just now has let it be served.
-            if self._may_take(waiter.use):
-                taken = self._find_idle(waiter)
-                if taken is not None:
-                    self._give(waiter, taken)
+            if self._may_use_link(waiter.use):
+                pooled = self._find_idle(waiter)
+                if pooled is not None:
+                    self._assign(waiter, pooled)
                     continue
-                lacking[waiter.team] += 1
-                self._open_up_to(waiter.team, lacking[waiter.team])
+                missing_links[waiter.team] += 1
+                self._open_up_to(waiter.team, missing_links[waiter.team])
             elif waiter.use is not Use.TRANSACTION:
                 break  # All others that wait want to run statements, too.
 
     def _find_idle(self, waiter: _link_queue.Waiter) -> PooledLink | None:
         if waiter.use is Use.CONTROL:
-            return _link_choice.for_question(self._idle)
+            return _link_choice.for_control(self._idle)
         return _link_choice.for_team(self._idle, waiter.team, waiter.values)
 
-    def _may_take(self, use: Use) -> bool:
+    def _may_use_link(self, use: Use) -> bool:
         if use is Use.CONTROL:
             return True
         if self._running >= self.parallel:
             return False
         if use is Use.STATEMENT:
             return True
-        taken = sum(t.for_transaction for t in self._used)
-        return taken < max(1, self.limit - self._policy.transaction_reserve)
-
-    def _give(self, waiter: _link_queue.Waiter, taken: PooledLink) -> None:
-        self._idle.remove(taken)
-        self._used.add(taken)
-        taken.for_transaction = waiter.use is Use.TRANSACTION
-        self.note_sent(taken)
+        pooled = sum(t.for_transaction for t in self._used)
+        return pooled < max(1, self.limit - self._policy.transaction_reserve)
+
+    def _assign(self, waiter: _link_queue.Waiter, pooled: PooledLink) -> None:
+        self._idle.remove(pooled)
+        self._used.add(pooled)
+        pooled.for_transaction = waiter.use is Use.TRANSACTION
+        self.note_sent(pooled)
         if waiter.use is not Use.CONTROL:
-            taken.used = self._clock.now()
-        decisions.resolve(waiter.fut, taken)
+            pooled.last_used_at = self._clock.now()
+        decisions.resolve(waiter.fut, pooled)
 
     def _open_up_to(self, team: str, count: int) -> None:
         """Opens a team's links until so many are under way."""
         if self._closed or self._backing_off:
             return
-        while self._opening[team] < count and self._make_room():
+        while self._opening[team] < count and self._may_open_another():
             self._open(team)
 
-    def _make_room(self) -> bool:
+    def _may_open_another(self) -> bool:
         """Whether one more link may be opened; an idle one may have to go."""
         bound = self._room.bound(self.limit, self._clock.now())
         if self.size < bound:
             return True
-        if bound < self.limit and not self._looks_again:
-            self._looks_again = True
-            self._clock.after(_link_room.GROW_S, self._look_again)
+        if bound < self.limit and not self._is_retry_scheduled:
+            self._is_retry_scheduled = True
+            self._clock.after(_link_room.GROWTH_INTERVAL_S, self._retry_waiters)
         return self._close_idle()
 
-    def _give_up_one(self) -> None:
+    def _close_surplus(self) -> None:
         """Closes an idle link where there are more than there may be."""
         bound = self._room.bound(self.limit, self._clock.now())
         if self.size > bound:
@@ -341,7 +341,7 @@
     def _close_idle(self) -> bool:
         """Closes the idle link that is needed least; whether there was one."""
         unneeded = _link_choice.to_close(
-            self._idle, self._uses, self._waiters.teams
+            self._idle, self._team_usage, self._waiters.teams
         )
         if unneeded is None:
             return False
@@ -349,9 +349,9 @@
         unneeded.link.close()
         return True
 
-    def _look_again(self) -> None:
+    def _retry_waiters(self) -> None:
         """Serves those who wait once there may be room for another link."""
-        self._looks_again = False
+        self._is_retry_scheduled = False
         self._serve()
 
     def _open(self, team: str) -> None:
@@ -372,13 +372,13 @@
         if self._closed:
             link.close()
             return
-        taken = PooledLink(link, self._clock.now(), team)
-        self._idle.append(taken)
-        self.note_heard(taken)
+        pooled = PooledLink(link, self._clock.now(), team)
+        self._idle.append(pooled)
+        self.note_heard(pooled)
         self._serve()
 
     def _note_failure(self, exc: BaseException) -> None:
-        self.contact.note_trouble()
+        self.contact.note_link_failure()
         backoff_s = self._policy.connect_backoff_s
         if isinstance(exc, _links.ConnectFailedError):
             self.is_replaced = exc.reason is decisions.WRONG_MEMBER
@@ -387,7 +387,7 @@
             elif exc.reason is decisions.TOO_MANY_CONNECTIONS:
                 self.contact.note_heard()
                 self._room.note_full(self.size, self._clock.now())
-                self._give_up_one()
+                self._close_surplus()
                 backoff_s = min(backoff_s, _link_room.FULL_BACKOFF_S)
         self._backoff_until = self._clock.now() + backoff_s
         self._clock.after(backoff_s, self._serve)
--- a/packages/proxy/src/ferry_proxy/_promotions.py
+++ b/packages/proxy/src/ferry_proxy/_promotions.py
@@ -79,7 +79,7 @@
         self._stopped = False
         self._not_before = float("-inf")
         self._patience_s = ctx.policy.promote_wait_s
-        self._stall = _fencing.StallWatch()
+        self._stall = _fencing.StallDetector()
         self._claims = _claims.Claims(
             ctx.clock, ctx.policy, ctx.node, ctx.store, ctx.catalogue, group
         )
@@ -160,9 +160,9 @@
     def _ask_if_quiet(self) -> None:
         """Asks over other links at once: one lost link is no lost member."""
         pool = self._group.leader_pool
-        if pool is None or not pool.contact.is_quiet:
+        if pool is None or not pool.contact.is_unresponsive:
             return
-        if self._ctx.clock.now() - self._group.round_at > ASK_AGAIN_S:
+        if self._ctx.clock.now() - self._group.last_round_at > ASK_AGAIN_S:
             self._group.refresh()
 
     def _ended(self, fut: "decisions.Future[None]") -> None:
@@ -189,7 +189,7 @@
             yield from self._confirm_stall()
         held = yield from self._claims.take()
         self._log("claimed", held.claim.token, "", cause.value)
-        self._group.expect_change()
+        self._group.expect_primary_change()
         try:
             yield from self._replace(cause, held)
         finally:
@@ -229,7 +229,9 @@
             pool.member.born if pool else 0,
         )
         futs = [
-            decisions.within(self._ctx.clock, OPINION_WAIT_S, s.call(question))
+            decisions.with_timeout(
+                self._ctx.clock, OPINION_WAIT_S, s.call(question)
+            )
             for s in self._ctx.mesh.streams
         ]
         settled = yield decisions.settle_all(futs, lambda _: False)
@@ -326,7 +328,7 @@
         group = self._group
         begun = ctx.clock.now()
         while ctx.clock.now() - begun < self._patience_s:
-            group.expect_change()
+            group.expect_primary_change()
             pool = group.pools.get(successor)
             if pool is None:
                 break
@@ -366,6 +368,6 @@
 
     Members that take long for a statement are given longer.
     """
-    if pool is None or not pool.contact.is_quiet:
+    if pool is None or not pool.contact.is_unresponsive:
         return 0.0
     return min(pool.contact.unanswered_s, pool.contact.silence_s)
--- a/packages/proxy/src/ferry_proxy/_proofs.py
+++ b/packages/proxy/src/ferry_proxy/_proofs.py
@@ -74,7 +74,7 @@
         for number, pool in enumerate(replicas):
             if number >= wanted:
                 pause = decisions.sleep(self._clock, PROOF_HEDGE_S)
-                yield decisions.either(done, pause)
+                yield decisions.first_completed(done, pause)
             if done.done():
                 break
             fut = decisions.start(self._prove_by(pool, leader, proofs))
--- a/packages/proxy/src/ferry_proxy/_proxy.py
+++ b/packages/proxy/src/ferry_proxy/_proxy.py
@@ -4,7 +4,6 @@
 import ferry_runtime as runtime
 
 from ferry_proxy import _access
-from ferry_proxy import _allowances
 from ferry_proxy import _catalogue
 from ferry_proxy import _currency
 from ferry_proxy import _events
@@ -16,11 +15,12 @@
 from ferry_proxy import _lost_nodes
 from ferry_proxy import _mesh
 from ferry_proxy import _metrics
-from ferry_proxy import _peer_desk
+from ferry_proxy import _peer_handler
 from ferry_proxy import _peer_messages
 from ferry_proxy import _planned_stop
 from ferry_proxy import _policy
-from ferry_proxy import _reach
+from ferry_proxy import _rate_limiter
+from ferry_proxy import _reachability
 from ferry_proxy import _readiness
 from ferry_proxy import _records
 from ferry_proxy import _refusals
@@ -69,7 +69,7 @@
         self.catalogue.on_change.append(self._apply)
         self._roster = _roster.Roster(loop, self.catalogue, self._own.name)
         refusals = _refusals.Refusals(
-            lambda: self._currency.evidence, policy.news_limit_s
+            lambda: self._currency.evidence, policy.max_store_age_s
         )
         access = _access.Access(
             policy.has_teams, lambda: self.catalogue.configuration, refusals
@@ -87,14 +87,14 @@
         self.ticker.subscribe(policy.probe_s, self._groups.survey)
         self.ticker.subscribe(CHECK_S, self._check)
         self.ticker.subscribe(SWEEP_S, self._sweep)
-        loop.on_late(self._groups.forgive)
+        loop.on_late(self._groups.exclude_pause)
         _gauges.add(
             self.metrics,
             _gauges.Sources(
                 self.catalogue,
                 self._follower,
                 self.mesh,
-                self._allowances,
+                self._rate_limiter,
                 self._currency,
             ),
             lambda: self.session_count,
@@ -115,14 +115,14 @@
         self._currency = _currency.Currency(
             loop, self.catalogue, self._follower, self.mesh
         )
-        self._allowances = _allowances.Allowances(
-            _allowances.AllowanceContext(
+        self._rate_limiter = _rate_limiter.RateLimiter(
+            _rate_limiter.RateLimiterContext(
                 clock=loop,
                 policy=self._policy,
                 own=self._own,
                 limit_of=self.catalogue.limit_of,
-                keepers=lambda: self._groups.keepers,
-                homes=lambda: self.catalogue.homes,
+                bucket_owners=lambda: self._groups.bucket_owners,
+                team_placement=lambda: self.catalogue.team_placement,
                 nodes=lambda: self._roster.nodes,
                 streams=lambda: self.mesh.by_name,
             )
@@ -139,7 +139,7 @@
                 promotions=platform.promotions,
                 mesh=self.mesh,
                 metrics=self.metrics,
-                gate=self._allowances,
+                gate=self._rate_limiter,
                 is_stopping=lambda: self.stopping,
             )
         )
@@ -150,19 +150,19 @@
             self.mesh,
             lambda s: self._groups.plans.get(s),
             self._want_peers,
-            lambda: self.catalogue.homes,
+            lambda: self.catalogue.team_placement,
         )
-        self.reach = _reach.Reach(
+        self.reach = _reachability.Reachability(
             loop, self._policy, self.mesh, self._groups, self._forwarder
         )
-        self._desk = _peer_desk.PeerDesk(
+        self._desk = _peer_handler.PeerMessageHandler(
             loop,
             self.catalogue,
             self._follower,
             self._groups,
             self._serving,
             self.reach,
-            self._allowances,
+            self._rate_limiter,
         )
         self.mesh.open(self._desk, self.ticker)
         self._registrar = _registrar.Registrar(
@@ -200,14 +200,14 @@
 
     @property
     def _why_not(self) -> _readiness.Unready | None:
-        standing = _readiness.Standing(
+        standing = _readiness.ReadinessInputs(
             is_stopping=self.stopping,
             has_configuration=self.has_configuration,
             awaits_peers=self._registrar.awaits_peers,
             is_cut_off=self.reach.is_cut_off,
             knows_primary=self._knows_primary,
         )
-        return _readiness.why_not(standing)
+        return _readiness.unready_reason(standing)
 
     @property
     def _knows_primary(self) -> bool:
@@ -260,7 +260,7 @@
 
     def _apply(self) -> None:
         """Brings groups and peers in line with the catalogue."""
-        if self._roster.look():
+        if self._roster.update():
             self._take_roster()
         elif self._roster.is_known:
             self._apply_groups()
@@ -312,8 +312,8 @@
 
     def _is_best(self, service: str, team: str) -> bool:
         """Whether no peer is better for a group that this node serves."""
-        if self._groups.serves_well(service):
-            return not self._forwarder.is_elsewhere(service, team)
+        if self._groups.can_serve(service):
+            return not self._forwarder.is_served_by_peer(service, team)
         return not self._forwarder.is_served(service)
 
     def _own_runner(self, service: str) -> _runners.Runner | None:
@@ -323,19 +323,19 @@
     # -- periodic work ---------------------------------------------------
 
     def _check(self) -> None:
-        self._currency.look()
+        self._currency.update()
         self.reach.judge()
-        self._allowances.check()
+        self._rate_limiter.check()
         self._groups.check()
         if self._needs_seeds:
             self._set_peers()
-        elif self._roster.look():
+        elif self._roster.update():
             self._take_roster()
         else:
             self._want_peers()
         self._announce()
         if not self.stopping:
-            self._registrar.look()
+            self._registrar.update()
             self._lost_nodes.check()
 
     def _announce(self) -> None:
@@ -359,10 +359,10 @@
         self.stopping = True
         self.mesh.announce()
         _events.emit(_events.NodeStopping(self.session_count))
-        work = _planned_stop.Work(
+        work = _planned_stop.RemainingWork(
             sessions=self._sessions.values(),
             serving=self._serving,
-            is_changing=lambda: self._groups.is_busy,
+            is_primary_changing=lambda: self._groups.is_busy,
         )
         return decisions.start(
             _planned_stop.stop(self._loop, self._identity.grace_s, front, work)
--- a/packages/proxy/src/ferry_proxy/_queueing.py
+++ b/packages/proxy/src/ferry_proxy/_queueing.py
@@ -14,7 +14,9 @@
 MIN_PARALLEL = 1  # With two, six nodes have 12 statements under way for three
 # slots, and what is urgent waits behind them in the member's own queue: worth
 # 0.816 of a day on which a group had one member left for all reads, 0.832 so.
-SLOT_FACTOR = 2.0  # Statements under way for each slot, over all nodes: one
+STATEMENTS_PER_SLOT = (
+    2.0  # Statements under way for each slot, over all nodes: one
+)
 # runs, one is on its way or next. Twice the work's time, at most.
 
 
@@ -25,7 +27,9 @@
         slots: Statements that the member runs at the same time.
         nodes: Nodes that send it statements.
     """
-    return max(MIN_PARALLEL, math.ceil(SLOT_FACTOR * slots / max(1, nodes)))
+    return max(
+        MIN_PARALLEL, math.ceil(STATEMENTS_PER_SLOT * slots / max(1, nodes))
+    )
 
 
 def expected_wait_s(ahead: int, parallel: int, latency_s: float) -> float:
--- a/packages/proxy/src/ferry_proxy/_allowances.py
+++ b/packages/proxy/src/ferry_proxy/_rate_limiter.py
@@ -14,13 +14,13 @@
 import ferry_decisions as decisions
 
 from ferry_proxy import _clocks
-from ferry_proxy import _homes
 from ferry_proxy import _limit_use
 from ferry_proxy import _limits
 from ferry_proxy import _peer_messages
 from ferry_proxy import _peers
 from ferry_proxy import _policy
 from ferry_proxy import _records
+from ferry_proxy import _team_placement
 from ferry_proxy import _teams
 
 ASK_S = 0.1  # Many network trips; a keeper that says nothing is passed over.
@@ -84,7 +84,7 @@
 
 
 @attrs.frozen(slots=True)
-class AllowanceContext:
+class RateLimiterContext:
     """What allowances are decided by.
 
     Attributes:
@@ -103,14 +103,14 @@
     policy: _policy.Policy
     own: _records.NodeEntry
     limit_of: Callable[[str], _teams.Limit]
-    keepers: "Callable[[], Keepers]"
-    homes: Callable[[], _homes.Homes]
+    bucket_owners: "Callable[[], BucketOwners]"
+    team_placement: Callable[[], _team_placement.TeamPlacement]
     nodes: Callable[[], Mapping[str, _records.NodeEntry]]
     streams: Callable[[], Mapping[str, _peers.Peer]]
 
 
 @attrs.frozen(slots=True)
-class Keepers:
+class BucketOwners:
     """The nodes that keep teams' buckets.
 
     Attributes:
@@ -122,16 +122,16 @@
     since: float = -math.inf
 
 
-class Allowances:
+class RateLimiter:
     """What one node knows of the limits of teams."""
 
-    def __init__(self, ctx: AllowanceContext) -> None:
+    def __init__(self, ctx: RateLimiterContext) -> None:
         self._ctx = ctx
         self._begun = ctx.clock.now()
         self._buckets: dict[str, _limits.Bucket] = {}
         self._advances: dict[str, _Advance] = {}
         self._used: dict[str, float] = {}
-        self._homes = ctx.homes()
+        self._team_placement = ctx.team_placement()
         self._arrivals: dict[str, _Arrival] = {}
         self._dealt_at = -math.inf
         self._use = _limit_use.LimitUse()
@@ -211,7 +211,9 @@
         reply = yield from self._ask(keeper, team, is_passed_on)
         if reply is not None:
             return reply
-        reply = self._give(team, 1, max(1, len(self._ctx.keepers().names)))
+        reply = self._give(
+            team, 1, max(1, len(self._ctx.bucket_owners().names))
+        )
         self._use.of(team).begun += reply.tokens
         return reply
 
@@ -272,15 +274,15 @@
         before may have given out its burst already; a full one here would be
         a second burst.
         """
-        homes = self._ctx.homes()
-        before, self._homes = self._homes, homes
-        if homes is before or not before.rates:
+        team_placement = self._ctx.team_placement()
+        before, self._team_placement = self._team_placement, team_placement
+        if team_placement is before or not before.rates:
             return
         now = self._ctx.clock.now()
-        names = self._ctx.keepers().names
+        names = self._ctx.bucket_owners().names
         own = self._ctx.own.name
-        for team in homes.rates:
-            is_here = bool(names) and homes.home(team, names) == own
+        for team in team_placement.rates:
+            is_here = bool(names) and team_placement.home(team, names) == own
             if is_here and before.home(team, names) != own:
                 self._begin_bucket(team, now)
         self._dealt_at = now
@@ -298,7 +300,7 @@
 
     def _little(self, limit: _teams.Limit) -> float:
         policy = self._ctx.policy
-        return _limits.first_tokens(
+        return _limits.initial_tokens(
             limit,
             policy.limit_window_s,
             policy.limit_overage,
@@ -313,14 +315,16 @@
         ctx = self._ctx
         streams = ctx.streams()
         limit_s = ctx.policy.isolated_s
-        names = ctx.keepers().names
+        names = ctx.bucket_owners().names
         present = [
             n
             for n in names
             if n == ctx.own.name
             or (n in streams and streams[n].silence_s < limit_s)
         ]
-        return streams.get(ctx.homes().first(team, names, present))
+        return streams.get(
+            ctx.team_placement().acting_node(team, names, present)
+        )
 
     def _ask(
         self, keeper: _peers.Peer, team: str, is_passed_on: bool = False
@@ -328,7 +332,9 @@
         """Asks a team's keeper; returns None where it does not answer."""
         fut = keeper.call(AllowanceRequest(team, is_passed_on))
         try:
-            reply: object = yield decisions.within(self._ctx.clock, ASK_S, fut)
+            reply: object = yield decisions.with_timeout(
+                self._ctx.clock, ASK_S, fut
+            )
         except (decisions.TimeoutExpiredError, _peers.PeerLostError) as exc:
             decisions.log_debug("%s keeps %s: %s", keeper.peer, team, exc)
             return None
@@ -376,13 +382,13 @@
         that. Whoever stands in for it cannot know what it gave out.
         """
         tokens = self._little(limit)
-        keepers = self._ctx.keepers()
-        if not keepers.names:
+        bucket_owners = self._ctx.bucket_owners()
+        if not bucket_owners.names:
             return tokens, now
-        home = self._ctx.homes().home(team, keepers.names)
+        home = self._ctx.team_placement().home(team, bucket_owners.names)
         if home != self._ctx.own.name:
             return tokens, now
-        since = max(self._begun, keepers.since)
+        since = max(self._begun, bucket_owners.since)
         arrival = self._arrivals.get(team)
         if arrival is not None and arrival.at > since:
             return arrival.tokens, arrival.at
--- a/packages/proxy/src/ferry_proxy/_reach.py
+++ b/packages/proxy/src/ferry_proxy/_reachability.py
@@ -19,7 +19,7 @@
 CUT_OFF_S = 1.5  # Longer than a link takes to be opened and lost again.
 
 
-def is_bypassed(group: _groups.Group, limit_s: float) -> bool:
+def others_reach_primary(group: _groups.Group, limit_s: float) -> bool:
     """Whether other nodes reach the primary, and this one does not.
 
     Args:
@@ -29,20 +29,20 @@
     pool = group.leader_pool
     if (
         pool is not None
-        and pool.contact.troubled_s > limit_s > pool.contact.silence_s
+        and pool.contact.link_failing_s > limit_s > pool.contact.silence_s
     ):
         return True
     if group.floor_age_s < limit_s:
         return False
     known = group.leader.member if group.leader else group.last_leader
     return any(
-        p.member.leads and p.contact.troubled_s > limit_s
+        p.member.leads and p.contact.link_failing_s > limit_s
         for n, p in group.pools.items()
         if n != known
     )
 
 
-def is_severed(group: _groups.Group, limit_s: float) -> bool:
+def reaches_primary_only(group: _groups.Group, limit_s: float) -> bool:
     """Whether this node reaches the primary, but none of its replicas.
 
     Where peers are out of reach too, the replicas are with them, and they have
@@ -53,10 +53,10 @@
         limit_s: For how long, in seconds.
     """
     leader = group.leader_pool
-    if leader is None or leader.contact.troubled_s > 0:
+    if leader is None or leader.contact.link_failing_s > 0:
         return False
     others = [p for p in group.pools.values() if p is not leader]
-    lost = all(p.contact.troubled_s > limit_s for p in others)
+    lost = all(p.contact.link_failing_s > limit_s for p in others)
     return bool(others) and lost and group.floor_age_s > limit_s
 
 
@@ -71,18 +71,18 @@
     def groups(self) -> "dict[str, _groups.Group]":
         """The groups that this node serves, by name."""
 
-    def serves_well(self, service: str) -> bool:
+    def can_serve(self, service: str) -> bool:
         """Whether this node reaches a primary that is known to lead."""
 
 
-class Reach:
+class Reachability:
     """The judgement of one node on what it reaches."""
 
     def __init__(
         self,
         clock: _clocks.Clock,
         policy: _policy.Policy,
-        mesh: _mesh.Reached,
+        mesh: _mesh.Connectivity,
         groups: Groups,
         forwarder: _forwarder.Forwarder,
     ) -> None:
@@ -123,7 +123,7 @@
         return [
             name
             for name in self._groups.plans
-            if not self._groups.serves_well(name)
+            if not self._groups.can_serve(name)
             and not self._forwarder.is_served(name)
         ]
 
@@ -136,9 +136,9 @@
         group = self._groups.groups.get(service)
         if group is None:
             return self._forwarder.is_missed(service)
-        if is_bypassed(group, self._limit_s):
+        if others_reach_primary(group, self._limit_s):
             return True
-        return reached < 1.0 and is_severed(group, self._limit_s)
+        return reached < 1.0 and reaches_primary_only(group, self._limit_s)
 
     def _is_apart(self, unserved: list[str], reached: float) -> bool:
         """Whether most peers and most groups are out of reach."""
--- a/packages/proxy/src/ferry_proxy/_readiness.py
+++ b/packages/proxy/src/ferry_proxy/_readiness.py
@@ -14,13 +14,13 @@
 
     STOPPING = "stopping"
     NO_CONFIGURATION = "no configuration yet"
-    NO_WORD = "no word of peers yet"
+    AWAITING_PEERS = "no word of peers yet"
     CUT_OFF = "cut off"
     NO_PRIMARY = "no primary is known"
 
 
 @attrs.frozen(slots=True, kw_only=True)
-class Standing:
+class ReadinessInputs:
     """What decides.
 
     Attributes:
@@ -38,14 +38,14 @@
     knows_primary: bool
 
 
-def why_not(standing: Standing) -> Unready | None:
+def unready_reason(standing: ReadinessInputs) -> Unready | None:
     """Returns why a node wants no new sessions; None if it does."""
     if standing.is_stopping:
         return Unready.STOPPING
     if not standing.has_configuration:
         return Unready.NO_CONFIGURATION
     if standing.awaits_peers:
-        return Unready.NO_WORD
+        return Unready.AWAITING_PEERS
     if standing.is_cut_off:
         return Unready.CUT_OFF
     return None if standing.knows_primary else Unready.NO_PRIMARY
--- a/packages/proxy/src/ferry_proxy/_records.py
+++ b/packages/proxy/src/ferry_proxy/_records.py
@@ -10,7 +10,7 @@
 NODE_PREFIX = "ferry/nodes/"
 CLAIM_PREFIX = "ferry/claims/"
 MAX_PORT = 65_535
-TOKENS_OF_AN_ERA = 1_000_000  # One a second for eleven days.
+TOKENS_PER_ERA = 1_000_000  # One a second for eleven days.
 MAX_SHOWN = 40  # Characters of a parser's words that a message repeats.
 
 
@@ -38,7 +38,7 @@
     service: str
 
 
-def claim_of_key(key: str) -> ClaimKey:
+def parse_claim_key(key: str) -> ClaimKey:
     """Reads a claim's key; one without an era is of era 0."""
     rest = key.removeprefix(CLAIM_PREFIX)
     era, _, service = rest.partition("/")
@@ -52,7 +52,7 @@
 
     It is above all of earlier eras, whose claims the store may have lost.
     """
-    return era * TOKENS_OF_AN_ERA + 1
+    return era * TOKENS_PER_ERA + 1
 
 
 class InvalidItemError(ValueError):
--- a/packages/proxy/src/ferry_proxy/_refusals.py
+++ b/packages/proxy/src/ferry_proxy/_refusals.py
@@ -15,11 +15,11 @@
 
     Attributes:
         evidence: Returns how current the configuration is.
-        news_limit_s: How often there is news of a store that is in reach.
+        max_store_age_s: How often there is news of a store that is in reach.
     """
 
     evidence: Callable[[], _currency.Evidence]
-    news_limit_s: float
+    max_store_age_s: float
 
     def of(
         self, reason: decisions.Reason, subject: str
@@ -33,7 +33,7 @@
             subject: The database or the key that it lacks.
         """
         evidence = self.evidence()
-        why = _currency.doubt(evidence, self.news_limit_s)
+        why = _currency.doubt(evidence, self.max_store_age_s)
         _events.emit(
             _events.RefusedByConfiguration(
                 reason.name, subject, why.value if why else "", evidence
--- a/packages/proxy/src/ferry_proxy/_registrar.py
+++ b/packages/proxy/src/ferry_proxy/_registrar.py
@@ -23,12 +23,14 @@
 SPREAD_S = 1.0  # 410 writes: below what a store takes a second; others miss a
 # node later.
 PATIENCE_S = 0.4  # A change comes from the store within a round trip.
-PEERS_WORD_S = 1.0  # After its first reading a node reaches its peers in half.
-STORE_AFTER_S = 1.0  # Behind for so long, a node reads the store itself: a
+PEER_NEWS_WAIT_S = (
+    1.0  # After its first reading a node reaches its peers in half.
+)
+STORE_READ_AFTER_S = 1.0  # Behind for so long, a node reads the store itself: a
 # third of the shortest time in which a configuration must be in force.
 
 
-class Informant(_peers.Peer, typing.Protocol):
+class PeerInfo(_peers.Peer, typing.Protocol):
     """A stream to a peer, and what it knows."""
 
     @property
@@ -40,15 +42,15 @@
         """The version of the configuration that the peer has; 0 for none."""
 
     @property
-    def owed_s(self) -> float:
+    def unresponsive_s(self) -> float:
         """Seconds since the peer was heard, while it owes an answer."""
 
 
-class Informants(typing.Protocol):
+class PeerInfoSource(typing.Protocol):
     """The streams to other nodes."""
 
     @property
-    def streams(self) -> Sequence[Informant]:
+    def streams(self) -> Sequence[PeerInfo]:
         """One stream for each peer."""
 
 
@@ -62,7 +64,7 @@
         store: _store.Store,
         catalogue: _catalogue.Catalogue,
         follower: _followers.Follower,
-        mesh: Informants,
+        mesh: PeerInfoSource,
     ) -> None:
         self._clock = clock
         self._own = own
@@ -70,7 +72,7 @@
         self._catalogue = catalogue
         self._follower = follower
         self._mesh = mesh
-        self._delay_s = SPREAD_S * decisions.spread_share("entry", own.name)
+        self._delay_s = SPREAD_S * decisions.stagger_fraction("entry", own.name)
         self._registering = False
         self._asking = False
         self._sources = _copy_sources.CopySources(
@@ -90,13 +92,13 @@
         first = catalogue.first_reading
         if first is None:
             return False
-        is_new = self._clock.now() - first.read_at < PEERS_WORD_S
+        is_new = self._clock.now() - first.read_at < PEER_NEWS_WAIT_S
         may_be_old = catalogue.revision.era > 0 and len(catalogue.nodes) > 1
         told = max((s.version for s in self._mesh.streams), default=0)
         is_told = 0 < told <= catalogue.version
         return is_new and may_be_old and not is_told
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Looks after this node's entry, and after what it has missed.
 
         A node that watches the store asks peers only where the change does
@@ -117,23 +119,23 @@
         patience = PATIENCE_S if self._may_come(ahead) else 0.0
         if behind_s >= patience and not self._asking:
             self._ask(ahead)
-        if behind_s >= STORE_AFTER_S:
-            self._follower.read_once()
+        if behind_s >= STORE_READ_AFTER_S:
+            self._follower.request_store_read()
 
-    def _may_come(self, ahead: Sequence[Informant]) -> bool:
+    def _may_come(self, ahead: Sequence[PeerInfo]) -> bool:
         """Whether what peers know may soon come from the store itself."""
         is_written = any(self._has_change(s) for s in ahead)
         return is_written and self._follower.is_watching
 
-    def _has_change(self, stream: Informant) -> bool:
+    def _has_change(self, stream: PeerInfo) -> bool:
         return stream.covered > self._catalogue.covered
 
-    def _is_ahead(self, stream: Informant) -> bool:
+    def _is_ahead(self, stream: PeerInfo) -> bool:
         """Whether a peer knows what this node does not."""
         is_newer = stream.version > self._catalogue.version
         return is_newer or self._has_change(stream)
 
-    def _ask(self, ahead: Sequence[Informant]) -> None:
+    def _ask(self, ahead: Sequence[PeerInfo]) -> None:
         """Asks one of the peers that know more for its copy."""
         near = [s for s in ahead if self._is_near(s)]
         far = [s for s in ahead if not self._is_near(s)]
@@ -142,20 +144,20 @@
             self._asking = True
             decisions.start(self._copy(stream))
 
-    def _is_near(self, stream: Informant) -> bool:
+    def _is_near(self, stream: PeerInfo) -> bool:
         node = self._catalogue.nodes.get(stream.peer)
         return node is not None and node.data_centre == self._own.data_centre
 
-    def _copy(self, stream: Informant) -> "decisions.Flow[None]":
+    def _copy(self, stream: PeerInfo) -> "decisions.Flow[None]":
         """Asks a peer for what is lacking, for as long as it shows life."""
         question = _peer_messages.SyncRequest.of(self._catalogue)
         fut = stream.call(question)
         try:
             while not fut.done():
-                if stream.owed_s >= SILENT_S:
+                if stream.unresponsive_s >= SILENT_S:
                     raise _peers.PeerLostError(f"{stream.peer} is silent")
                 pause = decisions.sleep(self._clock, LOOK_S)
-                yield decisions.either(decisions.settled(fut), pause)
+                yield decisions.first_completed(decisions.settled(fut), pause)
             reply = fut.result()
             if isinstance(reply, _peer_messages.SyncReply):
                 self._take(reply.batch, stream.peer)
@@ -163,7 +165,7 @@
             _peers.PeerLostError,
             _peer_messages.PeerProtocolError,
         ) as exc:
-            self._sources.note_in_vain(stream.peer)
+            self._sources.note_failure(stream.peer)
             _events.emit(_events.DependencyLost("peer's copy", str(exc)))
         finally:
             self._asking = False
@@ -171,11 +173,11 @@
     def _take(self, batch: _catalogue.Batch, peer: str) -> None:
         """Merges a peer's copy in, and notes whether it brought anything."""
         known = self._catalogue.covered, self._catalogue.version
-        self._catalogue.take_batch(batch, "peer")
+        self._catalogue.merge_batch(batch, "peer")
         if (self._catalogue.covered, self._catalogue.version) == known:
-            self._sources.note_in_vain(peer)
+            self._sources.note_failure(peer)
             return
-        self._sources.note_news(peer)
+        self._sources.note_success(peer)
         self._behind_since = None
 
     def _register(self) -> None:
--- a/packages/proxy/src/ferry_proxy/_shown.py
+++ b/packages/proxy/src/ferry_proxy/_reported_position.py
@@ -7,7 +7,7 @@
 RECHECK_S = 0.1  # A replica that lacked a position shows it this much later.
 
 
-class Shown:
+class ReportedPosition:
     """The position that a member showed last.
 
     Attributes:
--- a/packages/proxy/src/ferry_proxy/_requests.py
+++ b/packages/proxy/src/ferry_proxy/_requests.py
@@ -18,7 +18,7 @@
         at_replica: Whether that member was a replica.
         attempts: How often it was handed to a member.
         offered_at: When it was first handed to a member; 0 for never.
-        handed_at: When it was last handed to a member.
+        dispatched_at: When it was last handed to a member.
         via: The serving node that it was forwarded to; empty for none.
     """
 
@@ -26,7 +26,7 @@
     at_replica: bool = False
     attempts: int = 0
     offered_at: float = 0.0
-    handed_at: float = 0.0
+    dispatched_at: float = 0.0
     via: str = ""
 
     def note_offered(self, now: float) -> None:
@@ -34,12 +34,14 @@
         if not self.offered_at:
             self.offered_at = now
 
-    def note_handed(self, member: str, at_replica: bool, now: float) -> None:
+    def note_dispatched(
+        self, member: str, at_replica: bool, now: float
+    ) -> None:
         """Takes in that it goes to a member now."""
         self.member = member
         self.at_replica = at_replica
         self.attempts += 1
-        self.handed_at = now
+        self.dispatched_at = now
         self.note_offered(now)
 
 
@@ -66,7 +68,7 @@
     arrived: float
     arrived_boot: float
     session_floor: decisions.Position | None = None
-    caller: _teams.Caller = _teams.ANYBODY
+    caller: _teams.Caller = _teams.ANONYMOUS
     progress: Progress = attrs.field(factory=Progress)
 
     @property
@@ -88,7 +90,7 @@
         return self.statement.kind is _statements.Kind.WRITE
 
     @property
-    def moment(self) -> float:
+    def freshness_cutoff(self) -> float:
         """The boot time whose earlier commits a read has to show."""
         return self.arrived_boot - self.route.max_staleness_s
 
@@ -101,8 +103,8 @@
     def hold_until(
         self,
         policy: _policy.Policy,
-        is_changing: bool,
-        settled_at: float = float("-inf"),
+        is_primary_changing: bool,
+        leader_found_at: float = float("-inf"),
     ) -> float:
         """Returns until when it may wait for a member to be offered to.
 
@@ -112,17 +114,17 @@
 
         Args:
             policy: The tunables.
-            is_changing: Whether a primary is being changed.
-            settled_at: When the last change ended, in the clock's seconds.
+            is_primary_changing: Whether a primary is being changed.
+            leader_found_at: When the last change ended, in the clock's seconds.
                 What waited until then comes at once, and all nodes wait for
                 the same member: it may wait for a target's time from there.
         """
         longest = self.arrived + self.route.timeout_s * min(
             1.0, policy.failover_hold_share
         )
-        if is_changing:
+        if is_primary_changing:
             return longest
         usual = self.arrived + self.route.target_s * policy.hold_share
-        if settled_at < self.arrived:
+        if leader_found_at < self.arrived:
             return min(longest, usual)
-        return min(longest, settled_at + self.route.target_s)
+        return min(longest, leader_found_at + self.route.target_s)
--- a/packages/proxy/src/ferry_proxy/_roster.py
+++ b/packages/proxy/src/ferry_proxy/_roster.py
@@ -44,7 +44,7 @@
         self.nodes: dict[str, _records.NodeEntry] = {}
         self.is_known = False
 
-    def look(self) -> bool:
+    def update(self) -> bool:
         """Takes over what is listed now; returns whether that is a change.
 
         A node that finds itself listed was started again in a fleet that
--- a/packages/proxy/src/ferry_proxy/_runners.py
+++ b/packages/proxy/src/ferry_proxy/_runners.py
@@ -13,10 +13,10 @@
 from ferry_proxy import _execution
 from ferry_proxy import _gates
 from ferry_proxy import _groups
+from ferry_proxy import _hedged_reads
 from ferry_proxy import _jobs
 from ferry_proxy import _links
 from ferry_proxy import _policy
-from ferry_proxy import _read_races
 from ferry_proxy import _requests
 from ferry_proxy import _transactions
 
@@ -25,7 +25,7 @@
     """What a session needs of its transaction."""
 
     failure: decisions.Reason | None
-    used: float
+    last_used_at: float
 
     @property
     def wrote(self) -> bool:
@@ -95,7 +95,7 @@
     def _run(self, job: _jobs.Job) -> "decisions.Flow[_links.Reply]":
         if job.writes:
             return (yield from self._executor.write(job))
-        race = _read_races.ReadRace(
+        race = _hedged_reads.HedgedRead(
             self._executor, self._clock, self._policy, job
         )
         reply: _links.Reply = yield race.outcome
--- a/packages/proxy/src/ferry_proxy/_served_groups.py
+++ b/packages/proxy/src/ferry_proxy/_served_groups.py
@@ -5,7 +5,6 @@
 
 import attrs
 
-from ferry_proxy import _allowances
 from ferry_proxy import _catalogue
 from ferry_proxy import _clocks
 from ferry_proxy import _configuration
@@ -18,6 +17,7 @@
 from ferry_proxy import _peers
 from ferry_proxy import _policy
 from ferry_proxy import _promotions
+from ferry_proxy import _rate_limiter
 from ferry_proxy import _records
 from ferry_proxy import _runners
 from ferry_proxy import _serving_plan
@@ -62,7 +62,7 @@
 
 
 @attrs.define(slots=True, eq=False)
-class Served:
+class ServedGroup:
     """A group that this node serves, and what works on it.
 
     Attributes:
@@ -94,12 +94,12 @@
     def __init__(self, ctx: GroupsContext) -> None:
         self._ctx = ctx
         self._executor = _execution.Executor(ctx.clock, ctx.policy)
-        self._served: dict[str, Served] = {}
+        self._served: dict[str, ServedGroup] = {}
         self._plans: dict[str, _serving_plan.ServingPlan] = {}
         self._planned: _PlanInputs | None = None
         self._planner: _serving_plan.Planner | None = None
         self._begun = ctx.clock.now()
-        self.keepers = _allowances.Keepers()
+        self.bucket_owners = _rate_limiter.BucketOwners()
 
     @property
     def plans(self) -> Mapping[str, _serving_plan.ServingPlan]:
@@ -116,18 +116,18 @@
         """Whether a change of primary is under way here."""
         return any(s.promoter.is_busy for s in self._served.values())
 
-    def find(self, service: str) -> Served | None:
+    def find(self, service: str) -> ServedGroup | None:
         """Returns a group that this node serves."""
         return self._served.get(service)
 
-    def serves_well(self, service: str) -> bool:
+    def can_serve(self, service: str) -> bool:
         """Whether this node reaches a primary that is known to lead."""
         served = self._served.get(service)
         if served is None or self._ctx.is_stopping():
             return False
         if served.retires_at is not None:
             return False
-        return is_well(served.group, self._ctx.policy.isolated_s)
+        return has_confirmed_leader(served.group, self._ctx.policy.isolated_s)
 
     def peers(self) -> list[_records.NodeEntry]:
         """Returns the nodes that a serving node speaks to.
@@ -142,7 +142,7 @@
         }
         if found and self._ctx.policy.has_teams:
             nodes = self._ctx.nodes()
-            names = self.keepers.names
+            names = self.bucket_owners.names
             found.update({n: nodes[n] for n in names if n in nodes})
         found.pop(self._ctx.own.name, None)
         return list(found.values())
@@ -192,10 +192,10 @@
         self._plans = {n: planner.plan(n, m) for n, m in limits.items()}
 
     def _set_keepers(self, planner: _serving_plan.Planner) -> None:
-        names = planner.keepers()
-        if names != self.keepers.names:
+        names = planner.bucket_owners()
+        if names != self.bucket_owners.names:
             since = self._ctx.clock.now()
-            self.keepers = _allowances.Keepers(names, since)
+            self.bucket_owners = _rate_limiter.BucketOwners(names, since)
 
     def _apply_service(
         self,
@@ -215,17 +215,17 @@
             group.refresh()
         served.promoter.check()
 
-    def _add(self, service: _configuration.Service) -> Served:
+    def _add(self, service: _configuration.Service) -> ServedGroup:
         ctx = self._ctx
         name = service.name
         group = _groups.Group(
             ctx.clock, service, ctx.own.data_centre, ctx.connector, ctx.policy
         )
-        mesh = _peers.Among(ctx.mesh, lambda: self._names(name))
+        mesh = _peers.PeerSubset(ctx.mesh, lambda: self._names(name))
         promoter = _promotions.Promoter(
             self._promoter_context(name, mesh), group
         )
-        served = Served(
+        served = ServedGroup(
             group,
             promoter,
             _surveys.Surveys(ctx.clock, ctx.own.name, mesh, ctx.policy.probe_s),
@@ -276,7 +276,7 @@
             age = ctx.clock.boot_now() - held.seen_at
             fresh = age < ctx.policy.claim_valid_s
             if served is not None and not held.claim.done and fresh:
-                served.group.expect_change()
+                served.group.expect_primary_change()
 
     def _note_promoted(self, cause: str, elapsed_s: float) -> None:
         self._ctx.metrics.count("promotions_total", cause=cause)
@@ -318,7 +318,7 @@
             return len(names)
         return 1 + len(heard & names - {self._ctx.own.name})
 
-    def forgive(self, late_s: float) -> None:
+    def exclude_pause(self, late_s: float) -> None:
         """A pause of this process is not held against the members."""
         policy = self._ctx.policy
         if late_s < policy.probe_timeout_s:
@@ -330,7 +330,7 @@
                 group.leaderless_since, now - policy.probe_s
             )
             for pool in group.pools.values():
-                pool.contact.forgive(late_s)
+                pool.contact.exclude_pause(late_s)
 
     def close(self) -> None:
         """Closes all links."""
@@ -338,7 +338,7 @@
             served.group.set_members({}, 0)
 
 
-def is_well(group: _groups.Group, limit_s: float) -> bool:
+def has_confirmed_leader(group: _groups.Group, limit_s: float) -> bool:
     """Whether a group's primary is reached and known to lead.
 
     Args:
@@ -346,11 +346,11 @@
         limit_s: How old a sign may be, in seconds.
     """
     pool = group.leader_pool
-    if pool is None or pool.contact.troubled_s > limit_s:
+    if pool is None or pool.contact.link_failing_s > limit_s:
         return False
     return group.floor_age_s < limit_s
 
 
-def _open_links(served: Served | None) -> float:
+def _open_links(served: ServedGroup | None) -> float:
     pools = served.group.pools.values() if served else ()
     return float(sum(p.size for p in pools))
--- a/packages/proxy/src/ferry_proxy/_serving.py
+++ b/packages/proxy/src/ferry_proxy/_serving.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define(slots=True, eq=False)
-class _Served:
+class _ServedTransaction:
     """A transaction that runs here for another node.
 
     Attributes:
@@ -63,13 +63,15 @@
         self._clock = clock
         self._runner = runner
         self._access = access
-        self._open: dict[Entry, dict[int, _Served]] = {}
+        self._transactions: dict[Entry, dict[int, _ServedTransaction]] = {}
         self._running = 0
 
     @property
     def is_idle(self) -> bool:
         """Whether no statement runs and no transaction is open."""
-        served = [s for open_ in self._open.values() for s in open_.values()]
+        served = [
+            s for open_ in self._transactions.values() for s in open_.values()
+        ]
         live = any(s.transaction.failure is None for s in served)
         return not self._running and not live
 
@@ -81,7 +83,7 @@
 
     def end(self, entry: Entry, number: int) -> None:
         """Ends a transaction; what is open of it is rolled back."""
-        served = self._open.get(entry, {}).pop(number, None)
+        served = self._transactions.get(entry, {}).pop(number, None)
         if served is None:
             return
         served.is_ended = True
@@ -90,13 +92,13 @@
 
     def forget(self, entry: Entry) -> None:
         """Ends all transactions of an entry whose stream has ended."""
-        for number in list(self._open.get(entry, {})):
+        for number in list(self._transactions.get(entry, {})):
             self.end(entry, number)
-        self._open.pop(entry, None)
+        self._transactions.pop(entry, None)
 
     def end_transactions(self, reason: decisions.Reason) -> None:
         """Fails the transactions that rest; their entries learn of it next."""
-        for open_ in self._open.values():
+        for open_ in self._transactions.values():
             for served in open_.values():
                 if not served.is_busy and served.transaction.failure is None:
                     served.transaction.fail(reason)
@@ -131,17 +133,17 @@
         request: _requests.Request,
     ) -> "decisions.Flow[_links.Reply]":
         if body.transaction:
-            return (yield from self._run_in(entry, body, request))
+            return (yield from self._run_in_transaction(entry, body, request))
         runner = self._find_runner(body.service)
         return (yield from runner.run(request))
 
-    def _run_in(
+    def _run_in_transaction(
         self,
         entry: Entry,
         body: _forward_messages.RunRequest,
         request: _requests.Request,
     ) -> "decisions.Flow[_links.Reply]":
-        served = self._find(entry, body)
+        served = self._find_or_begin(entry, body)
         failure = served.transaction.failure
         if failure is not None:
             raise decisions.RequestFailedError(failure, "has failed before")
@@ -157,10 +159,10 @@
             self.end(entry, body.transaction)
         return reply
 
-    def _find(
+    def _find_or_begin(
         self, entry: Entry, body: _forward_messages.RunRequest
-    ) -> _Served:
-        found = self._open.get(entry, {}).get(body.transaction)
+    ) -> _ServedTransaction:
+        found = self._transactions.get(entry, {}).get(body.transaction)
         if found is not None:
             return found
         if not body.begins:
@@ -168,8 +170,8 @@
                 decisions.TRANSACTION_LOST, "unknown at the serving node"
             )
         runner = self._find_runner(body.service)
-        served = _Served(runner.begin(body.read_only))
-        self._open.setdefault(entry, {})[body.transaction] = served
+        served = _ServedTransaction(runner.begin(body.read_only))
+        self._transactions.setdefault(entry, {})[body.transaction] = served
         return served
 
     def _find_runner(self, service: str) -> _runners.Runner:
--- a/packages/proxy/src/ferry_proxy/_serving_plan.py
+++ b/packages/proxy/src/ferry_proxy/_serving_plan.py
@@ -80,7 +80,7 @@
             for name in sorted(by_place)
         }
 
-    def keepers(self) -> frozenset[str]:
+    def bucket_owners(self) -> frozenset[str]:
         """Returns the names of the nodes that count what teams ask for.
 
         As many as serve a group, and the same where few nodes are strong, so
--- a/packages/proxy/src/ferry_proxy/_sessions.py
+++ b/packages/proxy/src/ferry_proxy/_sessions.py
@@ -122,7 +122,7 @@
         transaction = self._transaction
         if cfg is None or transaction is None or self.busy:
             return
-        rested = now - transaction.used > cfg.transaction_idle_s
+        rested = now - transaction.last_used_at > cfg.transaction_idle_s
         if rested and transaction.holds_link:
             transaction.fail(decisions.TRANSACTION_LOST)
 
@@ -324,7 +324,7 @@
         progress = request.progress
         outcome = answer.reason.name if answer.reason else "ran"
         offered = progress.offered_at or now
-        self._ctx.metrics.note_request(
+        self._ctx.metrics.record_request(
             request.route.name,
             request.statement.kind,
             outcome,
@@ -332,7 +332,9 @@
             progress.at_replica and not answer.reason,
         )
         if request.caller.team:
-            self._ctx.metrics.note_team(request.caller.team, outcome)
+            self._ctx.metrics.record_team_statement(
+                request.caller.team, outcome
+            )
         _events.emit(
             _events.RequestDone(
                 request=request.statement.request_id,
--- a/packages/proxy/src/ferry_proxy/_surveys.py
+++ b/packages/proxy/src/ferry_proxy/_surveys.py
@@ -20,7 +20,9 @@
 from ferry_proxy import _peers
 
 SURVEY_WAIT_S = 0.2  # A peer answers in a few milliseconds.
-ROUND_S = 0.04  # Calm members answer a round in 5 ms, busy ones in 30 ms.
+STATUS_ROUND_S = (
+    0.04  # Calm members answer a round in 5 ms, busy ones in 30 ms.
+)
 TICK_LIMIT_S = 1.0  # A group that is no longer surveyed is not asked about.
 
 
@@ -53,7 +55,7 @@
         """Brings a group's floor up to date, by a round or by a peer."""
         self._ticked_at = self._clock.now()
         stream = self._surveyor(group)
-        if stream is None or group.is_troubled:
+        if stream is None or group.has_failed_contact:
             # Only this node's own question can end its own trouble.
             group.refresh()
         if stream is not None and not self._is_planned:
@@ -66,7 +68,7 @@
     def _ask(self, group: _groups.Group, stream: _peers.Peer) -> None:
         asked_at = self._clock.boot_now()
         question = _peer_messages.SurveyRequest(group.service.name)
-        fut = decisions.within(
+        fut = decisions.with_timeout(
             self._clock, SURVEY_WAIT_S, stream.call(question)
         )
         fut.add_done_callback(lambda f: self._take(group, asked_at, f))
@@ -78,7 +80,7 @@
             group: The group.
             age_s: The age of the floor that the peer has told just now.
         """
-        left_s = self._pause_s - age_s + ROUND_S
+        left_s = self._pause_s - age_s + STATUS_ROUND_S
         is_late = age_s > self._pause_s
         is_left = self._clock.now() - self._ticked_at > TICK_LIMIT_S
         if is_late or is_left or self._is_planned:
@@ -133,5 +135,5 @@
             decisions.Position(reply.floor_term, reply.floor_index),
         )
         heard = self._clock.now() - reply.heard_ago_s
-        group.take_survey(leader, sample, heard)
+        group.apply_survey(leader, sample, heard)
         self._plan(group, reply.age_s)
--- a/packages/proxy/src/ferry_proxy/_suspensions.py
+++ b/packages/proxy/src/ferry_proxy/_suspensions.py
@@ -14,7 +14,7 @@
         self._resumed_at = float("-inf")
         self._lost_s = 0.0
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Compares the clocks; to be called often."""
         gap_s = self._clock.boot_now() - self._clock.now()
         lost_s = gap_s - self._gap_s
@@ -29,7 +29,7 @@
         Args:
             moment: In the clock's seconds.
         """
-        self.look()
+        self.update()
         passed_s = self._clock.now() - moment
         return (
             passed_s + self._lost_s if moment <= self._resumed_at else passed_s
