--- a/packages/proxy/src/ferry_proxy/_homes.py
+++ b/packages/proxy/src/ferry_proxy/_team_placement.py
@@ -28,7 +28,7 @@
 _Nodes = frozenset[str]
 
 
-class Homes:
+class TeamPlacement:
     """The teams' homes, for each set of nodes that is asked for."""
 
     def __init__(self, rates: Mapping[str, float]) -> None:
@@ -52,7 +52,7 @@
             self._found[key] = _deal_out(self.rates, key)
         return self._found[key].get(team) or _hashed(team, key)
 
-    def first(
+    def acting_node(
         self, team: str, nodes: Collection[str], present: Collection[str]
     ) -> str:
         """Returns the team's home, or who stands in for it.
@@ -84,7 +84,7 @@
     }
     limit = FULL * sum(weights.values()) / len(nodes)
     loads = dict.fromkeys(sorted(nodes), 0.0)
-    homes = {}
+    team_placement = {}
     for team in sorted(weights, key=lambda t: (-weights[t], t)):
         weight = weights[team]
         fitting = [n for n in loads if loads[n] + weight <= limit]
@@ -92,8 +92,8 @@
         candidates = fitting or [n for n in loads if loads[n] == least]
         home = _hashed(team, candidates)
         loads[home] += weight
-        homes[team] = home
-    return homes
+        team_placement[team] = home
+    return team_placement
 
 
 def _hashed(team: str, nodes: Collection[str]) -> str:
--- a/packages/proxy/src/ferry_proxy/_teams.py
+++ b/packages/proxy/src/ferry_proxy/_teams.py
@@ -54,7 +54,7 @@
     version: int = 0
 
 
-ANYBODY = Caller()
+ANONYMOUS = Caller()
 
 
 @attrs.frozen(slots=True)
--- a/packages/proxy/src/ferry_proxy/_transactions.py
+++ b/packages/proxy/src/ferry_proxy/_transactions.py
@@ -40,7 +40,7 @@
         self._taken: _pooled_links.PooledLink | None = None
         self._wrote = False
         self.failure: decisions.Reason | None = None
-        self.used = clock.now()
+        self.last_used_at = clock.now()
 
     @property
     def wrote(self) -> bool:
@@ -71,7 +71,7 @@
         except decisions.RequestFailedError as exc:
             self.fail(exc.reason)
             raise
-        self.used = self._clock.now()
+        self.last_used_at = self._clock.now()
         if reply.reason is not None:
             self.fail(reply.reason)
         elif job.statement.kind is _statements.Kind.COMMIT:
@@ -221,14 +221,14 @@
         if not unsure:
             self._close_if_quiet(pool, taken, fut)
         try:
-            reply: _links.Reply = yield decisions.within(
+            reply: _links.Reply = yield decisions.with_timeout(
                 self._clock, limit, fut
             )
         except decisions.TimeoutExpiredError as exc:
             pool.discard(taken)
             raise decisions.RequestFailedError(lost, "no answer") from exc
         except _links.LinkLostError as exc:
-            reason = lost if exc.handed else decisions.TRANSACTION_LOST
+            reason = lost if exc.was_sent else decisions.TRANSACTION_LOST
             raise decisions.RequestFailedError(reason, str(exc)) from exc
         pool.note_heard(taken, self._clock.now() - begun)
         return reply
@@ -248,9 +248,9 @@
         def check() -> None:
             if fut.done():
                 return
-            if pool.contact.is_quiet:
+            if pool.contact.is_unresponsive:
                 pool.discard(taken)
             else:
                 self._clock.after(QUIET_CHECK_S, check)
 
-        self._clock.after(pool.contact.patience_s, check)
+        self._clock.after(pool.contact.max_reply_s, check)
--- a/packages/proxy/src/ferry_proxy/tests/fakes.py
+++ b/packages/proxy/src/ferry_proxy/tests/fakes.py
@@ -49,12 +49,12 @@
     isolated: bool = False
     lag_s: float = APPLY_S
     busy: int = 0
-    lose_answers: int = 0
+    replies_to_drop: int = 0
     links: list["FakeLink"] = attrs.field(factory=list)
     runs: list[tuple[str, str]] = attrs.field(factory=list)
     opened: int = 0
     slots: int = 0
-    free_at: list[float] = attrs.field(factory=list)
+    slot_free_at: list[float] = attrs.field(factory=list)
     born: int = 1_000
 
     def work_delay(self) -> float:
@@ -62,12 +62,12 @@
         if not self.slots:
             return WORK_S
         now = self.cluster.clock.now()
-        if len(self.free_at) < self.slots:
-            self.free_at += [now] * (self.slots - len(self.free_at))
-        self.free_at.sort()
-        begins = max(now, self.free_at[0])
-        self.free_at[0] = begins + WORK_S
-        return self.free_at[0] - now
+        if len(self.slot_free_at) < self.slots:
+            self.slot_free_at += [now] * (self.slots - len(self.slot_free_at))
+        self.slot_free_at.sort()
+        begins = max(now, self.slot_free_at[0])
+        self.slot_free_at[0] = begins + WORK_S
+        return self.slot_free_at[0] - now
 
     @property
     def end(self) -> decisions.Position:
@@ -110,7 +110,7 @@
 
     def run(self, commands):
         if self.lost:
-            lost = _links.LinkLostError("lost", handed=False)
+            lost = _links.LinkLostError("lost", was_sent=False)
             return [decisions.failed(lost) for _ in commands]
         clock = self.member.cluster.clock
         futs = []
@@ -143,8 +143,8 @@
         if reply is None:
             return
         is_run = isinstance(command, _links.Run)
-        if is_run and member.lose_answers:
-            member.lose_answers -= 1
+        if is_run and member.replies_to_drop:
+            member.replies_to_drop -= 1
             self.silent = True
             return
         member.cluster.clock.after(NET_S, lambda: self._send(fut, reply))
@@ -222,7 +222,7 @@
             member.busy -= 1
             return self._error(decisions.MEMBER_BUSY)
         if self._behind(command.floor):
-            member.cluster.refused_behind += 1
+            member.cluster.behind_rejections += 1
             return self._error(decisions.BEHIND)
         writes = statement.kind is _statements.Kind.WRITE
         if statement.kind is _statements.Kind.EXECUTE:
@@ -268,8 +268,8 @@
         self.seen_teams: dict[str, str] = {}
         self.promotions: list[tuple[str, int]] = []
         self.lost: list[str] = []
-        self.refused_behind = 0
-        self.showing: decisions.Position | None = None
+        self.behind_rejections = 0
+        self.visible_position: decisions.Position | None = None
         self.behind: set[str] = set()
         roles = [_members.Role.PRIMARY, *[_members.Role.REPLICA] * 2]
         self.members = {
@@ -283,7 +283,11 @@
     def shown(self, member: FakeMember) -> decisions.Position:
         if member.id in self.behind:
             return decisions.Position(0, 0)
-        return member.end if self.showing is None else self.showing
+        return (
+            member.end
+            if self.visible_position is None
+            else self.visible_position
+        )
 
     def replicate(self, primary: FakeMember) -> bool:
         received = 0
@@ -368,7 +372,7 @@
 
 
 @attrs.frozen
-class Copy:
+class StoreBackup:
     """What a store held at a moment."""
 
     items: dict[str, _store.Item]
@@ -384,10 +388,10 @@
         self.number = 0
         self.era = 0
         self.down = False
-        self.lost_answers = 0
-        self.late_writes = 0
+        self.replies_to_drop = 0
+        self.writes_to_delay = 0
         self.calls = 0
-        self._late: list[Callable[[], object]] = []
+        self._delayed_writes: list[Callable[[], object]] = []
 
     @property
     def revision(self) -> decisions.Revision:
@@ -401,10 +405,10 @@
         self.number += 1
         self.items[key] = _store.Item(key, None, self.revision)
 
-    def copy(self) -> Copy:
-        return Copy(dict(self.items), self.number)
+    def copy(self) -> StoreBackup:
+        return StoreBackup(dict(self.items), self.number)
 
-    def restore(self, copy: Copy) -> None:
+    def restore(self, copy: StoreBackup) -> None:
         """Comes back from a copy; all that was written since is gone."""
         self.era += 1
         self.number = copy.number
@@ -413,9 +417,9 @@
             for k, i in copy.items.items()
         }
 
-    def run_late_writes(self) -> None:
+    def run_delayed_writes(self) -> None:
         """Executes the writes that were kept back; nobody is told."""
-        late, self._late = self._late, []
+        late, self._delayed_writes = self._delayed_writes, []
         for work in late:
             with contextlib.suppress(_store.StoreUnavailableError):
                 work()
@@ -428,9 +432,9 @@
             if self.down:
                 fut.set_exception(_store.StoreUnavailableError("down"))
                 return
-            if is_write and self.late_writes:
-                self.late_writes -= 1
-                self._late.append(work)
+            if is_write and self.writes_to_delay:
+                self.writes_to_delay -= 1
+                self._delayed_writes.append(work)
                 fut.set_exception(_store.StoreUnavailableError("late"))
                 return
             try:
@@ -438,8 +442,8 @@
             except _store.StoreUnavailableError as exc:
                 fut.set_exception(exc)
                 return
-            if self.lost_answers:
-                self.lost_answers -= 1
+            if self.replies_to_drop:
+                self.replies_to_drop -= 1
                 fut.set_exception(_store.StoreUnavailableError("lost"))
             else:
                 fut.set_result(result)
@@ -536,8 +540,8 @@
     peers=2,
     told_version=1,
 )
-NEWS_LIMIT_S = 3.8
-REFUSALS = _refusals.Refusals(lambda: CURRENT, NEWS_LIMIT_S)
+MAX_STORE_AGE_S = 3.8
+REFUSALS = _refusals.Refusals(lambda: CURRENT, MAX_STORE_AGE_S)
 
 
 class Lab:
@@ -566,7 +570,9 @@
             self.clock, self.policy, executor, self.group
         )
         self.evidence = CURRENT
-        self.refusals = _refusals.Refusals(lambda: self.evidence, NEWS_LIMIT_S)
+        self.refusals = _refusals.Refusals(
+            lambda: self.evidence, MAX_STORE_AGE_S
+        )
         self.ctx = _sessions.SessionContext(
             self.clock,
             _metrics.Metrics(),
--- a/packages/proxy/src/ferry_proxy/tests/test_contact.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_contact.py
@@ -35,10 +35,10 @@
         elif step == "hear":
             contact.note_heard()
         elif step == "forgive":
-            contact.forgive(0.5)
+            contact.exclude_pause(0.5)
         else:
             clock.advance(step)
-    assert contact.is_quiet is expected
+    assert contact.is_unresponsive is expected
 
 
 def primary_falls_dark(lab):
@@ -68,9 +68,9 @@
     fell = primary_falls_dark(lab)
     futs = []
     while lab.clock.now() - fell < 0.9:
-        is_changing = lab.group.is_changing
+        is_primary_changing = lab.group.is_primary_changing
         fut = lab.session().run(fakes.statement("WRITE x 1"))
-        if is_changing:
+        if is_primary_changing:
             futs.append(fut)
         lab.run(0.03)
     lab.run(1.5)
@@ -100,7 +100,7 @@
     lab.store.down = True
     primary_falls_dark(lab)
     lab.run(4.0)
-    assert not lab.group.is_changing
+    assert not lab.group.is_primary_changing
     begun = lab.clock.now()
     answer = lab.do(lab.session(), fakes.statement("WRITE x 1"))
     assert answer.reason is not None
--- a/packages/proxy/src/ferry_proxy/tests/test_copy_sources.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_copy_sources.py
@@ -28,7 +28,7 @@
     while clock.now() < end:
         if sources.choose([NEAR], []) is not None:
             times.append(clock.now())
-            sources.note_in_vain(NEAR.peer)
+            sources.note_failure(NEAR.peer)
         clock.advance(0.1)
     return times
 
@@ -40,7 +40,7 @@
 
 def test_another_peer_is_asked_after_one_that_could_not_help():
     _, sources = made()
-    sources.note_in_vain(NEAR.peer)
+    sources.note_failure(NEAR.peer)
     assert sources.choose([NEAR], [FAR]) is FAR
 
 
@@ -55,5 +55,5 @@
 def test_a_peer_that_helped_is_asked_at_once():
     clock, sources = made()
     asked_within(clock, sources, 30.0)
-    sources.note_news(NEAR.peer)
+    sources.note_success(NEAR.peer)
     assert sources.choose([NEAR], []) is NEAR
--- a/packages/proxy/src/ferry_proxy/tests/test_currency.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_currency.py
@@ -48,7 +48,9 @@
     started = lab.add()
     lab.clock.advance(0.3)
     for node in (lab.reader, started):
-        assert doubt(currency(node, lab.clock)) is _currency.Doubt.COPY
+        assert (
+            doubt(currency(node, lab.clock)) is _currency.Doubt.STORE_RESTORED
+        )
 
 
 def test_the_doubt_ends_as_the_operators_write_again(lab):
@@ -87,9 +89,9 @@
         ({}, None),
         ({"told_version": 2}, _currency.Doubt.PEER_IS_AHEAD),
         ({"told_version": 2, "version": 2}, None),
-        ({"store_age_s": 3.9}, _currency.Doubt.OUT_OF_TOUCH),
+        ({"store_age_s": 3.9}, _currency.Doubt.STORE_SILENT),
         ({"store_age_s": 3.7}, None),
-        ({"copy_read_s": 9.9}, _currency.Doubt.COPY),
+        ({"copy_read_s": 9.9}, _currency.Doubt.STORE_RESTORED),
         ({"copy_read_s": 10.1}, None),
     ],
 )
@@ -121,7 +123,7 @@
     found = currency(lab.reader, clock)
     assert doubt(found) is None
     clock.suspended_s = 5.0
-    assert doubt(found) is _currency.Doubt.OUT_OF_TOUCH
+    assert doubt(found) is _currency.Doubt.STORE_SILENT
     lab.store.put("members/b", b"orders")
     lab.clock.advance(0.3)
     assert doubt(found) is None
--- a/packages/proxy/src/ferry_proxy/tests/test_followers.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_followers.py
@@ -31,7 +31,7 @@
     theirs: _catalogue.Catalogue
     store_seen: float = float("-inf")
     silence_s: float = 0.0
-    owed_s: float = 0.0
+    unresponsive_s: float = 0.0
     calls: int = 0
     delay_s: float = 0.0
     withholds: bool = False
@@ -86,7 +86,7 @@
             for node in self._lab.readers:
                 if stream.theirs is node.copy:
                     stream.store_seen = node.follower.seen_at
-        self.registrar.look()
+        self.registrar.update()
 
 
 class CountingStore:
@@ -175,11 +175,11 @@
     lab = Lab()
     behind = _catalogue.Catalogue(lab.clock, LAYOUT, lab.policy)
     gone = _store.Item("members/z", b"orders", fakes.at(1))
-    behind.take_changes(_store.Changes((gone,), fakes.at(1)), "store")
+    behind.merge_changes(_store.Changes((gone,), fakes.at(1)), "store")
     assert set(behind.members) == {"z"}
     batch = lab.reader.copy.batch_after(behind.revision)
     assert batch.is_whole
-    behind.take_batch(batch, "peer")
+    behind.merge_batch(batch, "peer")
     assert set(behind.members) == {"a"}
     assert behind.covered == lab.reader.copy.covered
 
@@ -187,7 +187,7 @@
 def test_a_node_watches_itself_once_no_peer_has_news():
     lab = Lab()
     lab.reader.store.turned_away = True
-    lab.clock.advance(_followers.NEWS_LIMIT_S + 4.0)
+    lab.clock.advance(_followers.MAX_STORE_AGE_S + 4.0)
     lab.store.put("members/b", b"orders")
     lab.settle()
     assert "b" in lab.other.copy.members
@@ -262,7 +262,7 @@
     def _look(self, roster: _roster.Roster) -> None:
         """Notes how many nodes a node's roster holds at first."""
         was_known = roster.is_known
-        if roster.look() and not was_known:
+        if roster.update() and not was_known:
             self.first_rosters.append(len(roster.nodes))
 
     @property
@@ -314,7 +314,7 @@
     second = FakeStream("n-second", lab.reader.copy)
     lab.other.streams.append(second)
     lab.stream.delay_s = 60.0
-    lab.stream.owed_s = 0.5
+    lab.stream.unresponsive_s = 0.5
     lab.store.put("members/b", b"orders")
     lab.clock.advance(1.0)
     assert "b" in lab.other.copy.members
@@ -324,7 +324,7 @@
 def test_a_node_that_stays_behind_reads_the_store_itself():
     lab = Lab()
     lab.stream.delay_s = 60.0
-    lab.stream.owed_s = 0.0  # It shows life, and yet nothing is whole.
+    lab.stream.unresponsive_s = 0.0  # It shows life, and yet nothing is whole.
     lab.other.store.calls.clear()
     lab.store.put("members/b", b"orders")
     lab.clock.advance(1.8)
--- a/packages/proxy/src/ferry_proxy/tests/test_forwarding.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_forwarding.py
@@ -9,13 +9,13 @@
 from ferry_proxy import _forward_messages
 from ferry_proxy import _forwarder
 from ferry_proxy import _forwarding
-from ferry_proxy import _homes
 from ferry_proxy import _peer_messages
 from ferry_proxy import _peers
 from ferry_proxy import _records
 from ferry_proxy import _serving
 from ferry_proxy import _serving_plan
 from ferry_proxy import _statements
+from ferry_proxy import _team_placement
 from ferry_proxy.tests import fakes
 
 STATES = _statements.TransactionState
@@ -33,15 +33,15 @@
         self.peer = peer
         self.services = frozenset({"orders"})
         self.missed: frozenset[str] = frozenset()
-        self.held = 0
+        self.open_transactions = 0
         self.closed = False
         self.silence_s = 0.0
-        self.owed_s = 0.0
-        self.mute = False
+        self.unresponsive_s = 0.0
+        self.drops_replies = False
         self.sent: list[object] = []
 
     @property
-    def waiting(self) -> int:
+    def pending_calls(self) -> int:
         return len(self._calls)
 
     def call(self, body):
@@ -53,13 +53,13 @@
         fut: decisions.Future[object] = decisions.Future()
         self._calls[number] = fut
         self._clock.after(
-            NET_S, functools.partial(self._run, number, coded(body))
+            NET_S, functools.partial(self._run, number, encode_and_decode(body))
         )
         return fut
 
     def tell(self, body) -> None:
         self.sent.append(body)
-        message = coded(body)
+        message = encode_and_decode(body)
         assert isinstance(message, _forward_messages.EndTransaction)
         self._clock.after(
             NET_S, lambda: self._serving.end(self, message.transaction)
@@ -81,17 +81,17 @@
         answer.add_done_callback(lambda fut: self._answer(number, fut))
 
     def _answer(self, number, fut) -> None:
-        reply = coded(fut.result())
-        if not self.mute:
+        reply = encode_and_decode(fut.result())
+        if not self.drops_replies:
             self._clock.after(NET_S, lambda: self._take(number, reply))
 
     def _take(self, number, reply) -> None:
-        waiting = self._calls.pop(number, None)
-        if waiting is not None:
-            waiting.set_result(reply)
+        pending_calls = self._calls.pop(number, None)
+        if pending_calls is not None:
+            pending_calls.set_result(reply)
 
 
-def coded(body):
+def encode_and_decode(body):
     """Returns a message as it comes out of the codec."""
     data = _peer_messages.encode(1, body)
     return _peer_messages.Decoder().feed(data)[0].body
@@ -121,7 +121,7 @@
         self.plan = _serving_plan.ServingPlan(entries, 4)
         own = _records.NodeEntry("entry", "h", 1, "hall-b")
         self.seeks = 0
-        self.homes = _homes.Homes({})
+        self.team_placement = _team_placement.TeamPlacement({})
         self.forwarder = _forwarder.Forwarder(
             self.clock,
             self.policy,
@@ -129,7 +129,7 @@
             self.mesh,
             lambda _: self.plan,
             self._seek,
-            lambda: self.homes,
+            lambda: self.team_placement,
         )
         self.local, self.runner = (
             self.runner,
@@ -191,7 +191,7 @@
     lab.run(0.5)
     assert lab.open_links() == 0
     assert all(s.is_idle for s in lab.servings.values())
-    assert [s.held for s in lab.mesh.by_name.values()] == [0, 0]
+    assert [s.open_transactions for s in lab.mesh.by_name.values()] == [0, 0]
 
 
 def test_values_and_shapes_go_with_the_statement():
@@ -228,9 +228,9 @@
     ],
     ids=["lost its members", "silent", "gone"],
 )
-def test_the_far_one_serves_while_the_near_one_cannot(trouble):
+def test_the_far_one_serves_while_the_near_one_cannot(break_stream):
     lab = EntryLab()
-    trouble(lab.near)
+    break_stream(lab.near)
     if lab.near.closed:
         del lab.mesh.by_name["near"]
     session = lab.session()
@@ -295,10 +295,10 @@
 
 def test_a_read_is_asked_elsewhere_when_its_node_falls_silent():
     lab = EntryLab()
-    lab.near.mute = True
+    lab.near.drops_replies = True
     fut = lab.session().run(fakes.statement("READ x"))
     lab.run(0.1)
-    lab.near.owed_s = 1.0
+    lab.near.unresponsive_s = 1.0
     lab.run(0.25)
     assert fut.result().reason is None
     assert fut.result().proof.startswith("proof")
@@ -306,7 +306,7 @@
 
 def test_a_read_waits_for_a_node_that_is_slow_and_shows_life():
     lab = EntryLab()
-    lab.near.mute = True
+    lab.near.drops_replies = True
     fut = lab.session().run(fakes.statement("READ x"))
     lab.run(0.9)
     assert not fut.done()
@@ -315,14 +315,14 @@
 
 def test_a_node_that_owes_answers_and_is_silent_gets_no_more():
     lab = EntryLab()
-    lab.near.owed_s = 1.0
+    lab.near.unresponsive_s = 1.0
     assert lab.results(lab.session(), "WRITE x 1") == [""]
     assert (len(lab.near.sent), len(lab.far.sent)) == (0, 1)
 
 
 def test_an_answer_that_does_not_come_is_unknown_for_a_write():
     lab = EntryLab()
-    lab.near.mute = True
+    lab.near.drops_replies = True
     session = lab.session()
     assert lab.results(session, "WRITE x 1") == ["answer_lost"]
     assert len(lab.cluster.acknowledged) == 1
@@ -394,7 +394,7 @@
         "r", "orders", "session", 1, 1.0, 0.4, 1.5, 0.0,
         "id", "read", "READ x", "x", "", False, None, {}, 0, -1,
     )  # fmt: skip
-    bad = coded(good)
+    bad = encode_and_decode(good)
     object.__setattr__(bad, field, "nonsense")
     fut = lab.servings["near"].run(lab.near, bad)
     assert fut.result().reason == "protocol_violation"
@@ -416,7 +416,7 @@
     lab = EntryLab()
     del lab.mesh.by_name["far"]
     lab.reachable.add("far")
-    lab.near.owed_s = lab.near.silence_s = 0.4
+    lab.near.unresponsive_s = lab.near.silence_s = 0.4
     assert lab.results(lab.session(), *texts) == expected
     assert lab.seeks == 1
     assert not lab.near.sent
@@ -426,10 +426,10 @@
     lab = EntryLab()
     del lab.mesh.by_name["far"]
     lab.reachable.add("far")
-    lab.near.mute = True
+    lab.near.drops_replies = True
     fut = lab.session().run(fakes.statement("READ x"))
     lab.run(0.1)
-    lab.near.owed_s = lab.near.silence_s = 0.35
+    lab.near.unresponsive_s = lab.near.silence_s = 0.35
     lab.run(0.25)
     assert fut.result().reason is None
 
@@ -437,10 +437,10 @@
 def test_a_read_that_nobody_else_can_run_keeps_its_reason():
     lab = EntryLab()
     del lab.mesh.by_name["far"]
-    lab.near.mute = True
+    lab.near.drops_replies = True
     fut = lab.session().run(fakes.statement("READ x"))
     lab.run(0.1)
-    lab.near.owed_s = lab.near.silence_s = 0.35
+    lab.near.unresponsive_s = lab.near.silence_s = 0.35
     lab.run(0.5)
     assert fut.result().reason is decisions.READ_CUT
     assert lab.seeks == 1
--- a/packages/proxy/src/ferry_proxy/tests/test_limits.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_limits.py
@@ -9,13 +9,13 @@
 import ferry_decisions as decisions
 import pytest
 
-from ferry_proxy import _allowances
-from ferry_proxy import _homes
 from ferry_proxy import _limits
 from ferry_proxy import _peer_messages
 from ferry_proxy import _peers
 from ferry_proxy import _policy
+from ferry_proxy import _rate_limiter
 from ferry_proxy import _records
+from ferry_proxy import _team_placement
 from ferry_proxy import _teams
 
 NET_S = 0.0015
@@ -89,7 +89,7 @@
     ],
 )
 def test_what_a_new_keeper_begins_with(limit, tokens):
-    found = _limits.first_tokens(limit, WINDOW_S, OVERAGE, SLACK)
+    found = _limits.initial_tokens(limit, WINDOW_S, OVERAGE, SLACK)
     assert found == pytest.approx(tokens)
 
 
@@ -99,10 +99,10 @@
     By hash alone the fullest node has 1.29 of it, and the emptiest 0.48.
     """
     rates = {f"t{n}": 100.0 / (n % 20 + 1) for n in range(84)}
-    homes = _homes.Homes(rates)
+    team_placement = _team_placement.TeamPlacement(rates)
     loads = dict.fromkeys(NODES, 0.0)
     for team, rate in rates.items():
-        loads[homes.home(team, NODES)] += rate
+        loads[team_placement.home(team, NODES)] += rate
     even = sum(rates.values()) / len(NODES)
     assert max(loads.values()) <= 1.08 * even
     hashed = dict.fromkeys(NODES, 0.0)
@@ -114,13 +114,15 @@
 
 
 def test_a_node_that_is_away_moves_its_own_teams_alone():
-    homes = _homes.Homes({f"t{n}": 1.0 + n for n in range(60)})
+    team_placement = _team_placement.TeamPlacement(
+        {f"t{n}": 1.0 + n for n in range(60)}
+    )
     for away in NODES:
         present = NODES.keys() - {away}
         for number in range(60):
             team = f"t{number}"
-            home = homes.home(team, NODES)
-            first = homes.first(team, NODES, present)
+            home = team_placement.home(team, NODES)
+            first = team_placement.first(team, NODES, present)
             assert (first == home) is (home != away)
 
 
@@ -136,7 +138,9 @@
     ],
 )
 def test_where_there_is_little_to_choose(rates, nodes, present, first):
-    assert _homes.Homes(rates).first("t", nodes, present) == first
+    assert (
+        _team_placement.TeamPlacement(rates).first("t", nodes, present) == first
+    )
 
 
 class Fleet:
@@ -146,7 +150,9 @@
         self.known = known
         self.clock = decisions.VirtualTimers()
         self.limit = LIMIT
-        self.homes = _homes.Homes({"t1": LIMIT.rate_per_s})
+        self.team_placement = _team_placement.TeamPlacement(
+            {"t1": LIMIT.rate_per_s}
+        )
         self.late_homes = {}  # Of nodes that know an older configuration.
         self.cut = set()
         self.alone = {}  # Nodes that reach no other one, and since when.
@@ -165,14 +171,18 @@
     def start(self, name):
         """Begins a node, or begins it again with nothing kept."""
         self.down.discard(name)
-        self.nodes[name] = _allowances.Allowances(
-            _allowances.AllowanceContext(
+        self.nodes[name] = _rate_limiter.RateLimiter(
+            _rate_limiter.RateLimiterContext(
                 clock=self.clock,
                 policy=_policy.Policy(has_teams=True),
                 own=self.known[name],
                 limit_of=lambda _: self.limit,
-                keepers=lambda: _allowances.Keepers(tuple(self.known), 0.0),
-                homes=lambda: self.late_homes.get(name, self.homes),
+                bucket_owners=lambda: _rate_limiter.BucketOwners(
+                    tuple(self.known), 0.0
+                ),
+                team_placement=lambda: self.late_homes.get(
+                    name, self.team_placement
+                ),
                 nodes=lambda: self.known,
                 streams=functools.partial(self._streams, name),
             )
@@ -208,7 +218,7 @@
             self.refused[team] += 1
 
     def home(self, team, names):
-        return self.homes.first(team, self.known, names)
+        return self.team_placement.first(team, self.known, names)
 
     def flood(self, team, per_s, for_s, entries):
         """Sends a team's operations to what runs them, entry by entry."""
@@ -257,7 +267,7 @@
         fleet = self._fleet
         fleet.asked += 1
         fut: decisions.Future[object] = decisions.Future()
-        assert isinstance(body, _allowances.AllowanceRequest)
+        assert isinstance(body, _rate_limiter.AllowanceRequest)
         if fleet.is_cut(self._own, self.peer):
             fleet.clock.after(1.0, lambda: _lose(fut, self.peer))
             return fut
@@ -389,7 +399,7 @@
     keeper = fleet.home("t1", ALL)
     other = next(n for n in ALL if n != keeper)
     # It stood in for the keeper before.
-    fleet.nodes[other].answer(_allowances.AllowanceRequest("t1", True))
+    fleet.nodes[other].answer(_rate_limiter.AllowanceRequest("t1", True))
     for _ in range(200):
         fleet.ask(other, "t1")
         fleet.clock.advance(0.02)
@@ -403,7 +413,7 @@
     fleet = Fleet()
     node = fleet.home("t1", ALL)
     fleet.ask(node, "t1")
-    fleet.clock.advance(_allowances.UNUSED_S + 0.2)
+    fleet.clock.advance(_rate_limiter.UNUSED_S + 0.2)
     assert not fleet.nodes[node]._buckets
 
 
@@ -413,9 +423,11 @@
     A team that weighs more fills the node where the team was.
     """
     for number in range(1000):
-        homes = _homes.Homes({"t1": LIMIT.rate_per_s, f"x{number}": 900.0})
-        if homes.home("t1", nodes) != than:
-            return homes
+        team_placement = _team_placement.TeamPlacement(
+            {"t1": LIMIT.rate_per_s, f"x{number}": 900.0}
+        )
+        if team_placement.home("t1", nodes) != than:
+            return team_placement
     raise AssertionError("none found")
 
 
@@ -426,7 +438,7 @@
     fleet = Fleet()
     fleet.flood("t1", 500.0, 1.0, ALL)
     for _ in range(changes):
-        fleet.homes = homes_elsewhere(fleet.home("t1", ALL))
+        fleet.team_placement = homes_elsewhere(fleet.home("t1", ALL))
         fleet.flood("t1", 500.0, gap_s, ALL)
     fleet.flood("t1", 500.0, 6.0, ALL)
     assert fleet.most("t1") <= bound()
@@ -452,8 +464,8 @@
 def flood_beside_late_nodes(fleet, late, late_s, seed):
     """Floods a fleet in which some nodes hear later of a change of homes."""
     fleet.flood("t1", 500.0, 3.0, ALL)
-    fleet.late_homes = dict.fromkeys(late, fleet.homes)
-    fleet.homes = homes_elsewhere(fleet.home("t1", ALL))
+    fleet.late_homes = dict.fromkeys(late, fleet.team_placement)
+    fleet.team_placement = homes_elsewhere(fleet.home("t1", ALL))
     rng = random.Random(seed)
     end = fleet.clock.now() + late_s
     while fleet.clock.now() < end:
@@ -493,7 +505,7 @@
     """
     fleet = Fleet()
     for _ in range(4):
-        fleet.homes = homes_elsewhere(fleet.home("t1", ALL))
+        fleet.team_placement = homes_elsewhere(fleet.home("t1", ALL))
         fleet.flood("t1", LIMIT.rate_per_s / 1.6, gap_s, ALL)
     fleet.flood("t1", LIMIT.rate_per_s / 1.6, 18.0 - 4 * gap_s + 6.0, ALL)
     let_through = len(fleet.let_through["t1"])
@@ -535,7 +547,7 @@
     fleet, few = flooded(seed, has_home)
     fleet.alone = dict.fromkeys(few, fleet.clock.now())
     fleet.flood("t1", 500.0, 0.5, list(MANY))
-    fleet.homes = homes_elsewhere(fleet.home("t1", list(MANY)), MANY)
+    fleet.team_placement = homes_elsewhere(fleet.home("t1", list(MANY)), MANY)
     fleet.flood("t1", 500.0, 6.5, list(MANY))
     fleet.alone = {}
     fleet.flood("t1", 500.0, 6.0, list(MANY))
--- a/packages/proxy/src/ferry_proxy/tests/test_link_choice.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_link_choice.py
@@ -11,19 +11,25 @@
 from ferry_proxy.tests import fakes
 
 
-def link(team, used=0.0, heard=0.0, values=None):
+def link(team, last_used_at=0.0, last_reply_at=0.0, values=None):
     """Returns a link that nobody uses."""
     conn = fakes.FakeLink(MEMBER, team)
-    return _pooled_links.PooledLink(conn, heard, team, values or {}, used=used)
+    return _pooled_links.PooledLink(
+        conn, last_reply_at, team, values or {}, last_used_at=last_used_at
+    )
 
 
 MEMBER = fakes.Lab().cluster.members["a"]
 
 
 def test_a_question_takes_the_link_that_was_silent_longest():
-    links = [link("a", heard=3.0), link("b", heard=1.0), link("", heard=2.0)]
-    assert _link_choice.for_question(links) is links[1]
-    assert _link_choice.for_question([]) is None
+    links = [
+        link("a", last_reply_at=3.0),
+        link("b", last_reply_at=1.0),
+        link("", last_reply_at=2.0),
+    ]
+    assert _link_choice.for_control(links) is links[1]
+    assert _link_choice.for_control([]) is None
 
 
 @pytest.mark.parametrize(
@@ -37,7 +43,7 @@
 
 
 def uses(**counts):
-    made = _link_choice.Uses()
+    made = _link_choice.TeamUsage()
     for team, count in counts.items():
         for _ in range(count):
             made.note(team, 1.0)
@@ -63,14 +69,14 @@
 
 def test_uses_are_forgotten():
     made = uses(a=8, b=1)
-    made.note("b", 1.0 + 3 * _link_choice.MEMORY_S)
+    made.note("b", 1.0 + 3 * _link_choice.USE_DECAY_S)
     assert made.of("b") > made.of("a") > 0.0
     made.note("b", 100.0)
     assert made.of("a") == 0.0
 
 
 def least_recently_used(links, *_):
-    return min(links, key=lambda t: t.used)
+    return min(links, key=lambda t: t.last_used_at)
 
 
 def opened(choose, seed):
@@ -79,20 +85,20 @@
     teams = [f"t{n}" for n in range(14)]
     weights = [1 / (n + 1) for n in range(14)]
     links: list[_pooled_links.PooledLink] = []
-    seen = _link_choice.Uses()
+    seen = _link_choice.TeamUsage()
     count = 0
     for number in range(4000):
         now = number / 30
         team = rng.choices(teams, weights)[0]
         seen.note(team, now)
-        taken = _link_choice.for_team(links, team, {})
-        if taken is None:
+        pooled = _link_choice.for_team(links, team, {})
+        if pooled is None:
             count += 1
             if len(links) == 6:
                 links.remove(choose(links, seen, {team}))
-            taken = link(team)
-            links.append(taken)
-        taken.used = now
+            pooled = link(team)
+            links.append(pooled)
+        pooled.last_used_at = now
     return count / 4000
 
 
--- a/packages/proxy/src/ferry_proxy/tests/test_lives.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_lives.py
@@ -19,7 +19,7 @@
     return lab.do(lab.session(), fakes.statement("WRITE x 1", name))
 
 
-def relist(lab):
+def apply_entries(lab):
     lab.group.set_members(lab.cluster.entries(), lab.limit)
 
 
@@ -30,10 +30,10 @@
 def test_next_life(known, told, expected):
     before = attrs.evolve(MEMBER, born=known)
     after = attrs.evolve(MEMBER, born=told)
-    assert after.is_next_life_of(before) is expected
+    assert after.is_restart_of(before) is expected
 
 
-class Copy:
+class CatalogueLab:
     """A catalogue whose members' entries are `BORN` or `BORN draining`."""
 
     def __init__(self) -> None:
@@ -62,7 +62,7 @@
 
 
 def test_an_earlier_lifes_entry_that_comes_late_changes_nothing():
-    lab = Copy()
+    lab = CatalogueLab()
     lab.write("7")
     lab.write("5 draining")
     assert lab.copy.members["i-1"].born == 7
@@ -71,7 +71,7 @@
 
 
 def test_an_earlier_lifes_entry_does_not_bring_back_a_member_that_went():
-    lab = Copy()
+    lab = CatalogueLab()
     lab.write("7")
     lab.write(None)
     lab.write("5")
@@ -84,7 +84,7 @@
 def test_a_known_member_whose_entry_turns_unreadable_is_kept_for_a_while(
     mended,
 ):
-    lab = Copy()
+    lab = CatalogueLab()
     lab.write("7")
     lab.write("not a number")
     lab.clock.advance(lab.policy.entry_lapse_s - 0.1)
@@ -96,7 +96,7 @@
 
 
 def test_an_unreadable_entry_of_an_unknown_member_names_nobody():
-    lab = Copy()
+    lab = CatalogueLab()
     lab.write("not a number")
     lab.clock.advance(10.0)
     assert lab.copy.members == {}
@@ -110,7 +110,7 @@
     lab.do(session, fakes.statement("EXECUTE s 1"))
     for name in "bc":
         lab.cluster.restart(name)
-    relist(lab)
+    apply_entries(lab)
     lab.run(0.5)
     last = fakes.statement("EXECUTE s 1", "last")
     assert lab.do(session, last).reason is None
@@ -124,11 +124,11 @@
     lab.run(1.0)
     old = lab.group.pools[name]
     lab.cluster.restart(name, keeps_log=False)
-    relist(lab)
+    apply_entries(lab)
     pool = lab.group.pools[name]
     assert pool is not old
     assert lab.group.last_report(name) is None
-    assert (pool.shown.position, pool.contact.latency_s) == (None, 0.0)
+    assert (pool.reported.position, pool.contact.latency_s) == (None, 0.0)
     assert (lab.group.leader is None) is (name == "a")
 
 
@@ -138,7 +138,7 @@
     for name in "bc":
         lab.cluster.members[name].paused_term = 2
     lab.cluster.restart("b")
-    relist(lab)
+    apply_entries(lab)
     assert write(lab, "w").reason is decisions.NOT_CONFIRMED
     fut = lab.group.prove()
     lab.run(1.0)
@@ -150,7 +150,7 @@
     lab.add_promoter()
     write(lab, "w")
     lab.cluster.restart("c", keeps_log=False)
-    relist(lab)
+    apply_entries(lab)
     lab.cluster.crash("a")
     lab.run(3.0)
     assert [member for member, _ in lab.cluster.promotions] == ["b"]
@@ -165,7 +165,7 @@
     write(lab, "held by a and b")
     lab.run(1.0)
     lab.cluster.restart("b", keeps_log=False)
-    relist(lab)
+    apply_entries(lab)
     lab.cluster.crash("a")
     lab.run(4.0)
     assert lab.cluster.promotions == []
@@ -189,7 +189,7 @@
     late.dark = True  # Its answer, and so the order, comes after a retry.
     lab.run(0.05)
     lab.cluster.restart("b")
-    relist(lab)
+    apply_entries(lab)
     late.dark = False
     lab.run(POLICY.probe_timeout_s + 0.05)
     assert lab.cluster.promotions == []
--- a/packages/proxy/src/ferry_proxy/tests/test_lone_primary.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_lone_primary.py
@@ -6,32 +6,32 @@
 from ferry_proxy import _configuration
 from ferry_proxy.tests import fakes
 
-GONE_S = 12.0  # Long after the replicas have left the list.
-AT_ONCE_S = 0.15
+REPLICAS_REMOVED_S = 12.0  # Long after the replicas have left the list.
+IMMEDIATE_S = 0.15
 
 
-def lone_lab(consistency):
+def lab_without_replicas(consistency):
     lab = fakes.Lab(consistency)
     lab.run(1.0)
     lab.cluster.crash("b")
     lab.cluster.crash("c")
     entry = lab.cluster.entries()["a"]
     lab.group.set_members({"a": entry}, lab.limit)
-    lab.run(GONE_S)
+    lab.run(REPLICAS_REMOVED_S)
     return lab
 
 
 @pytest.mark.parametrize("consistency", list(_configuration.Consistency))
 def test_a_lone_primary_goes_on_serving_reads(consistency):
-    lab = lone_lab(consistency)
+    lab = lab_without_replicas(consistency)
     answer = lab.do(lab.session(), fakes.statement("READ x"))
     assert answer.reason is None
 
 
 def test_a_write_that_nobody_can_confirm_is_refused_at_once():
-    lab = lone_lab(_configuration.Consistency.PRIMARY)
+    lab = lab_without_replicas(_configuration.Consistency.PRIMARY)
     begun = lab.clock.now()
     answer = lab.do(lab.session(), fakes.statement("WRITE x 1"))
     assert answer.reason.outcome is decisions.Outcome.NOT_RUN
     assert answer.reason.retry_after_s > 0
-    assert lab.clock.now() - begun <= AT_ONCE_S
+    assert lab.clock.now() - begun <= IMMEDIATE_S
--- a/packages/proxy/src/ferry_proxy/tests/test_lost_nodes.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_lost_nodes.py
@@ -48,7 +48,7 @@
     lab = Lab()
     lab.run(5.0)
     lab.mesh.connected.clear()
-    lab.run(_lost_nodes.LOST_S - 1.0)
+    lab.run(_lost_nodes.REMOVE_AFTER_S - 1.0)
     assert lab.is_listed
     lab.run(2.0)
     assert not lab.is_listed
@@ -67,7 +67,7 @@
 def test_nobody_is_removed_by_a_node_that_may_be_wrong(spoil):
     lab = Lab()
     lab.mesh.connected.clear()
-    lab.run(_lost_nodes.LOST_S - 6.0)
+    lab.run(_lost_nodes.REMOVE_AFTER_S - 6.0)
     spoil(lab)
     lab.run(12.0)
     assert lab.is_listed
--- a/packages/proxy/src/ferry_proxy/tests/test_overload.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_overload.py
@@ -111,7 +111,7 @@
     lab.run(2.0)
     assert len(lab.served("r")) == 100
     # Each may be asked again after a tenth of a second, by two reads at once.
-    assert lab.cluster.refused_behind <= 40
+    assert lab.cluster.behind_rejections <= 40
 
 
 def test_replicas_take_the_reads_again_once_they_have_caught_up():
--- a/packages/proxy/src/ferry_proxy/tests/test_peers.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_peers.py
@@ -52,7 +52,7 @@
 
 
 @attrs.define
-class FakeDesk(_peers.NoDesk):
+class FakeMessageHandler(_peers.NullMessageHandler):
     """Describes its node as the test says."""
 
     ping: _peer_messages.Ping = CALM
@@ -70,13 +70,13 @@
 
     def __init__(self, timers: typing.Any = None) -> None:
         self.loop = timers or typing.cast(typing.Any, FakeLoop())
-        self.desk = FakeDesk()
+        self.desk = FakeMessageHandler()
         far = typing.cast(typing.Any, FakeStream())
         self.raw = typing.cast(typing.Any, FakeStream())
         self.raw.other, far.other = far, self.raw
         self.named: list[str] = []
         self.receiver = _peers.PeerStream(
-            self.loop, far, "b", _peers.NoDesk(), self._note
+            self.loop, far, "b", _peers.NullMessageHandler(), self._note
         )
         self.sender = _peers.PeerStream(
             self.loop, self.raw, "a", self.desk, lambda: None
@@ -89,7 +89,7 @@
         """Lets the sender show life after half a second; returns the bytes."""
         self.loop.time += 0.5
         self.desk.ping = attrs.evolve(self.desk.ping, **changes)
-        self.sender.tick(_peers.Pulse.of(self.desk.ping))
+        self.sender.tick(_peers.EncodedPing.of(self.desk.ping))
         return bytes(self.raw.sent[-1])
 
     @property
@@ -154,16 +154,16 @@
     pair.sender.peer = "b"
     mesh._in.append(pair.sender)
     ticker.subscribe(_mesh.OWING_PING_S, mesh._show_life)
-    pulse = _peers.Pulse.of(CALM)
+    pulse = _peers.EncodedPing.of(CALM)
     ticker.subscribe(_mesh.PING_S, lambda: pair.receiver.tick(pulse))
     pair.receiver.call(_peer_messages.SyncRequest(0, 0, 0))
     for _ in range(40):
         timers.advance(0.05)
-        assert pair.receiver.owed_s < _forwarder.QUIET_S
+        assert pair.receiver.unresponsive_s < _forwarder.SILENT_PEER_S
     answer.set_result(_peer_messages.OpinionReply(1.0))
     sent = len(pair.raw.sent)
     timers.advance(1.0)
-    assert pair.receiver.waiting == 0
+    assert pair.receiver.pending_calls == 0
     assert len(pair.raw.sent) == sent
 
 
@@ -172,7 +172,7 @@
     assert pair.named == ["a"]
     fut = pair.receiver.call(_peer_messages.SyncRequest(0, 0, 0))
     pair.loop.time += _peers.SILENT_S + 0.1
-    pair.receiver.tick(_peers.Pulse.of(CALM))
+    pair.receiver.tick(_peers.EncodedPing.of(CALM))
     assert pair.receiver.closed
     assert len(pair.named) == 2
     assert isinstance(fut.exception(), _peers.PeerLostError)
--- a/packages/proxy/src/ferry_proxy/tests/test_promotions.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_promotions.py
@@ -10,7 +10,7 @@
 from ferry_proxy import _peer_messages
 from ferry_proxy import _peers
 from ferry_proxy import _policy
-from ferry_proxy import _reach
+from ferry_proxy import _reachability
 from ferry_proxy import _records
 from ferry_proxy import _surveys
 from ferry_proxy.tests import fakes
@@ -162,7 +162,7 @@
 
 
 def test_stall_is_seen_only_while_no_replica_receives():
-    watch = _fencing.StallWatch()
+    watch = _fencing.StallDetector()
     watch.take(report(PRIMARY, 7, 0.0), [report(REPLICA, 5, 0.0)], 0.0)
     watch.take(report(PRIMARY, 8, 0.5), [report(REPLICA, 5, 0.5)], 0.5)
     assert watch.stalled_s == pytest.approx(0.5)
@@ -272,7 +272,7 @@
 def test_a_claim_without_an_answer_is_not_acted_upon():
     lab = fakes.Lab()
     lab.add_promoter()
-    lab.store.lost_answers = 1
+    lab.store.replies_to_drop = 1
     lab.cluster.crash("a")
     lab.run(1.2)
     assert lab.cluster.promotions == []
@@ -282,7 +282,7 @@
     """Day trouble-2: a report asked for before a promotion came after it."""
     lab = fakes.Lab()
     lab.group.note_leader(_members.Leader("b", 2))
-    lab.group._find_leader({"b": report(REPLICA, 3, 0.0, term=1)})
+    lab.group._update_leader({"b": report(REPLICA, 3, 0.0, term=1)})
     assert lab.group.leader == _members.Leader("b", 2)
 
 
@@ -392,7 +392,10 @@
         lab.run(0.1)
         if peer_hears:
             lab.group.pools["a"].contact.reported = lab.clock.now()
-    assert _reach.is_bypassed(lab.group, POLICY.isolated_s) is expected
+    assert (
+        _reachability.others_reach_primary(lab.group, POLICY.isolated_s)
+        is expected
+    )
 
 
 def test_a_primary_that_others_chose_and_this_node_cannot_reach():
@@ -400,11 +403,11 @@
     for name in "abc":
         lab.cluster.members[name].dark = True
     lab.run(2.0)
-    assert not _reach.is_bypassed(lab.group, POLICY.isolated_s)
+    assert not _reachability.others_reach_primary(lab.group, POLICY.isolated_s)
     lab.cluster.members["b"].role = PRIMARY
     lab.group.set_members(lab.cluster.entries(), lab.limit)
     lab.run(1.5)
-    assert _reach.is_bypassed(lab.group, POLICY.isolated_s)
+    assert _reachability.others_reach_primary(lab.group, POLICY.isolated_s)
 
 
 @pytest.mark.parametrize(
@@ -417,7 +420,10 @@
     for name in dark:
         lab.cluster.members[name].dark = True
     lab.run(3.0)
-    assert _reach.is_severed(lab.group, POLICY.isolated_s) is expected
+    assert (
+        _reachability.reaches_primary_only(lab.group, POLICY.isolated_s)
+        is expected
+    )
 
 
 def test_a_node_asks_itself_until_its_trouble_is_over():
@@ -425,14 +431,14 @@
     lab = fakes.Lab()
     lab.cluster.members["a"].dark = True
     lab.run(2.0)
-    assert lab.group.is_troubled
+    assert lab.group.has_failed_contact
     lab.cluster.members["a"].dark = False
     lab.stop_probing()
     surveys = _surveys.Surveys(lab.clock, "n1", FakePeer(lab), 0.4)
     for _ in range(3):
         surveys.survey(lab.group)
         lab.run(POLICY.probe_s)
-    assert not lab.group.is_troubled
+    assert not lab.group.has_failed_contact
 
 
 class FakePeer:
@@ -525,7 +531,7 @@
     lab = fakes.Lab()
     lab.cluster.members["b"].draining = True
     lab.group.set_members(lab.cluster.entries(), lab.limit)
-    assert lab.group.is_in_flux
+    assert lab.group.is_membership_changing
     write(lab, "calm")
     for name in "bc":
         lab.cluster.members[name].paused_term = 2
--- a/packages/proxy/src/ferry_proxy/tests/test_reach.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_reachability.py
@@ -5,7 +5,7 @@
 
 from ferry_proxy import _groups
 from ferry_proxy import _policy
-from ferry_proxy import _reach
+from ferry_proxy import _reachability
 from ferry_proxy.tests import test_forwarding
 
 POLICY = _policy.Policy()
@@ -20,7 +20,7 @@
     groups: dict[str, _groups.Group]
     plans: tuple[str, ...] = ("orders",)
 
-    def serves_well(self, service):
+    def can_serve(self, service):
         group = self.groups.get(service)
         return group is not None and group.floor_age_s < POLICY.isolated_s
 
@@ -35,7 +35,7 @@
 
 
 def reach_of(lab, groups, share=1.0):
-    return _reach.Reach(
+    return _reachability.Reachability(
         lab.clock, POLICY, FakeMesh(share), FakeGroups(groups), lab.forwarder
     )
 
@@ -67,7 +67,7 @@
     lab.far.services = NONE
     reach.judge()
     lab.near.silence_s = POLICY.isolated_s + 0.1
-    lab.run(_reach.CUT_OFF_S + 0.1)
+    lab.run(_reachability.CUT_OFF_S + 0.1)
     reach.judge()
     assert not reach.is_cut_off
 
--- a/packages/proxy/src/ferry_proxy/tests/test_readiness.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_readiness.py
@@ -5,7 +5,7 @@
 
 from ferry_proxy import _readiness
 
-WELL = _readiness.Standing(
+WELL = _readiness.ReadinessInputs(
     is_stopping=False,
     has_configuration=True,
     awaits_peers=False,
@@ -21,13 +21,13 @@
         ({}, None),
         ({"is_stopping": True}, WHY.STOPPING),
         ({"has_configuration": False}, WHY.NO_CONFIGURATION),
-        ({"awaits_peers": True}, WHY.NO_WORD),
+        ({"awaits_peers": True}, WHY.AWAITING_PEERS),
         ({"is_cut_off": True}, WHY.CUT_OFF),
         ({"knows_primary": False}, WHY.NO_PRIMARY),
         ({"is_stopping": True, "is_cut_off": True}, WHY.STOPPING),
-        ({"awaits_peers": True, "knows_primary": False}, WHY.NO_WORD),
+        ({"awaits_peers": True, "knows_primary": False}, WHY.AWAITING_PEERS),
     ],
 )
 def test_why_a_node_wants_no_sessions(changes, expected):
     standing = attrs.evolve(WELL, **changes)
-    assert _readiness.why_not(standing) is expected
+    assert _readiness.unready_reason(standing) is expected
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_claims.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_claims.py
@@ -27,7 +27,7 @@
 class NoPeers:
     """A node that hears of the store from nobody else."""
 
-    streams: list[_followers.Informant] = []
+    streams: list[_followers.PeerInfo] = []
 
 
 class Lab(fakes.Lab):
@@ -134,14 +134,14 @@
     lab = Lab()
     copy = lab.store.copy()
     first = lab.take("n1")
-    lab.store.late_writes = 1
+    lab.store.writes_to_delay = 1
     with pytest.raises(_store.StoreUnavailableError):
         lab.take("n1")
     lab.store.restore(copy)
     lab.run(CALM_S)
     held = lab.take("n2")
     assert held.revision.number == first.revision.number
-    lab.store.run_late_writes()
+    lab.store.run_delayed_writes()
     lab.run(5.0)
     known = lab.catalogue.claims["orders"].claim
     assert (known.holder, known.token) == ("n2", held.claim.token)
@@ -163,7 +163,7 @@
 @pytest.mark.parametrize("era", [0, 1, 12])
 def test_keys_of_claims(era, service):
     key = _records.claim_key(era, service)
-    assert _records.claim_of_key(key) == _records.ClaimKey(era, service)
+    assert _records.parse_claim_key(key) == _records.ClaimKey(era, service)
 
 
 def test_claims_of_eras_that_are_over_are_removed():
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_configuration.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_configuration.py
@@ -20,7 +20,7 @@
     return _configuration.Configuration(int(value), {}, {}, 3.0, 1 << 20)
 
 
-def changed_after_a_copy(lab: test_followers.Lab) -> fakes.Copy:
+def changed_after_a_copy(lab: test_followers.Lab) -> fakes.StoreBackup:
     """Writes version 4, then 9; returns a copy of the store between them."""
     lab.store.put("config", b"4")
     lab.settle()
@@ -75,10 +75,12 @@
 def test_what_is_written_again_is_told_once():
     """The whole document may be hundreds of kilobytes."""
     lab = Lab()
-    assert lab.reader.copy.batch_after(decisions.UNREAD).kept is not None
+    assert (
+        lab.reader.copy.batch_after(decisions.UNREAD_REVISION).kept is not None
+    )
     lab.store.put("config", b"9")
     lab.settle()
-    assert lab.reader.copy.batch_after(decisions.UNREAD).kept is None
+    assert lab.reader.copy.batch_after(decisions.UNREAD_REVISION).kept is None
 
 
 def test_what_the_operator_writes_next_counts_everywhere():
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_members.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_members.py
@@ -49,12 +49,12 @@
         """Reads the store whole."""
         items = tuple(i for i in self.store.items.values() if i.value)
         snapshot = _store.Changes(items, self.store.revision)
-        self.copy.take_snapshot(snapshot, "store")
+        self.copy.merge_snapshot(snapshot, "store")
 
     def write(self, key: str, text: str) -> None:
         self.store.put(key, text.encode())
         changes = _store.Changes((self.store.items[key],), self.store.revision)
-        self.copy.take_changes(changes, "store")
+        self.copy.merge_changes(changes, "store")
 
     @property
     def drains(self) -> bool:
@@ -129,7 +129,7 @@
     copy = lab.store.copy()
     lab.store.delete(KEY)
     gone = lab.store.items[KEY]
-    lab.copy.take_changes(_store.Changes((gone,), gone.revision), "store")
+    lab.copy.merge_changes(_store.Changes((gone,), gone.revision), "store")
     lab.store.restore(copy)
     lab.read()
     assert "i-1" not in lab.copy.members
--- a/packages/proxy/src/ferry_proxy/tests/test_restored_store.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_store.py
@@ -22,7 +22,7 @@
     )
     revision = fakes.at(number, era)
     items = [_store.Item("members/" + n, b"orders", revision) for n in names]
-    made.take_snapshot(_store.Changes(tuple(items), revision), "test")
+    made.merge_snapshot(_store.Changes(tuple(items), revision), "test")
     return made
 
 
@@ -46,7 +46,7 @@
 def test_a_peer_that_knows_more_of_the_older_history_changes_nothing():
     old = copy_with("a", "b", "c", era=1, number=90)
     new = copy_with("a", era=2, number=50)
-    new.take_batch(old.batch_after(decisions.UNREAD), "peer")
+    new.merge_batch(old.batch_after(decisions.UNREAD_REVISION), "peer")
     assert set(new.members) == {"a"}
     assert new.revision == new.covered == fakes.at(50, era=2)
 
@@ -56,7 +56,7 @@
     new = copy_with("a", "z", era=2, number=50)
     batch = new.batch_after(old.revision)
     assert batch.is_whole
-    old.take_batch(batch, "peer")
+    old.merge_batch(batch, "peer")
     assert "z" in old.members
     assert old.revision == fakes.at(50, era=2)
 
@@ -65,7 +65,7 @@
 def test_changes_of_the_older_history_that_come_late_are_passed_over(number):
     new = copy_with("a", era=2, number=50)
     late = _store.Item("members/b", b"orders", fakes.at(number, era=1))
-    new.take_changes(_store.Changes((late,), late.revision), "store")
+    new.merge_changes(_store.Changes((late,), late.revision), "store")
     new.take((late,), "own entry")
     assert set(new.members) == {"a"}
     assert new.revision == fakes.at(50, era=2)
--- a/packages/proxy/src/ferry_proxy/tests/test_roster.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_roster.py
@@ -33,11 +33,11 @@
             "own",
         )
         self.changes: list[float] = []
-        self.look()
-        decisions.PeriodicTimer(self.clock, 0.1, self.look)
+        self.update()
+        decisions.PeriodicTimer(self.clock, 0.1, self.update)
 
-    def look(self) -> None:
-        if self.roster.look():
+    def update(self) -> None:
+        if self.roster.update():
             self.changes.append(round(self.clock.now(), 2))
 
 
@@ -47,7 +47,7 @@
     for n in range(195):
         lab.clock.advance(0.3 / 195)
         lab.catalogue.add(f"n{n:03}")
-        lab.look()
+        lab.update()
     lab.clock.advance(2.0)
     assert len(lab.changes) == 1
     assert len(lab.roster.nodes) == 196
@@ -62,9 +62,9 @@
     lab = Lab("own", "n1")
     lab.clock.advance(5.0)
     lab.catalogue.add("n2")
-    lab.look()
+    lab.update()
     lab.catalogue.add("n3")
-    lab.look()
+    lab.update()
     lab.clock.advance(2.0)
     assert lab.changes == [0.0, 5.0, 5.6]
     assert set(lab.roster.nodes) == {"own", "n1", "n2", "n3"}
--- a/packages/proxy/src/ferry_proxy/tests/test_served_groups.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_served_groups.py
@@ -112,9 +112,9 @@
 
 def test_a_serving_node_serves_well_once_it_has_found_the_primary():
     lab = Lab()
-    assert not lab.groups.serves_well("orders")
+    assert not lab.groups.can_serve("orders")
     lab.clock.advance(1.0)
-    assert lab.groups.serves_well("orders")
+    assert lab.groups.can_serve("orders")
     assert {n.name for n in lab.groups.peers()} == set(lab.serving) - {
         lab.own.name
     }
@@ -124,7 +124,7 @@
     lab = Lab()
     lab.clock.advance(1.0)
     lab.stopping = True
-    assert not lab.groups.serves_well("orders")
+    assert not lab.groups.can_serve("orders")
 
 
 def test_nodes_that_do_not_serve_open_no_links():
@@ -151,7 +151,7 @@
     ]
     comers = [_records.NodeEntry(n, "h", 1, "hall-b") for n in better[:2]]
     lab.list_nodes(comers)
-    assert not lab.groups.serves_well("orders")
+    assert not lab.groups.can_serve("orders")
     served = lab.groups.find("orders")
     assert served is not None
     lab.put("members/a", None)
--- a/packages/proxy/src/ferry_proxy/tests/test_sessions.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_sessions.py
@@ -173,7 +173,7 @@
 
 def test_a_write_without_an_answer_is_not_handed_over_again():
     lab = fakes.Lab()
-    lab.cluster.members["a"].lose_answers = 1
+    lab.cluster.members["a"].replies_to_drop = 1
     answer = lab.do(lab.session(), fakes.statement("WRITE x 1", "once"))
     assert answer.reason is decisions.ANSWER_LOST
     runs = [r for r in lab.cluster.members["a"].runs if r[0] == "once"]
@@ -182,7 +182,7 @@
 
 def test_a_read_without_an_answer_is_asked_elsewhere():
     lab = fakes.Lab(CONSISTENCY.BOUNDED)
-    lab.cluster.members["b"].lose_answers = 1
+    lab.cluster.members["b"].replies_to_drop = 1
     begun = lab.clock.now()
     answer = lab.do(lab.session(), fakes.statement("READ x"))
     assert answer.reason is None
@@ -245,12 +245,12 @@
 def test_members_that_are_all_behind_are_not_pestered():
     """Incident inc-1442: a read was asked 35 times in 0.4 s."""
     lab = fakes.Lab(CONSISTENCY.BOUNDED)
-    lab.cluster.showing = decisions.Position(0, 0)
+    lab.cluster.visible_position = decisions.Position(0, 0)
     lab.cluster.members["a"].log = [(1, "w")]
     lab.run(2.5)
     answer = lab.do(lab.session(), fakes.statement("READ x", "late"))
     assert answer.reason is decisions.BEHIND
-    assert lab.cluster.refused_behind <= 12
+    assert lab.cluster.behind_rejections <= 12
 
 
 def test_a_silent_read_is_not_asked_at_a_member_that_leaves():
@@ -260,7 +260,7 @@
     leaving.draining = True
     lab.group.set_members(lab.cluster.entries(), lab.limit)
     for name in "ab":
-        lab.cluster.members[name].lose_answers = 2
+        lab.cluster.members[name].replies_to_drop = 2
     lab.do(lab.session(), fakes.statement("READ x"))
     assert leaving.runs == []
 
--- a/packages/proxy/src/ferry_proxy/tests/test_surveys.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_surveys.py
@@ -48,7 +48,7 @@
     clock: decisions.VirtualTimers
     covers: float = float("-inf")
     rounds: int = 0
-    is_troubled: bool = False
+    has_failed_contact: bool = False
     service: typing.Any = attrs.field(
         factory=lambda: types.SimpleNamespace(name="orders")
     )
@@ -56,7 +56,7 @@
     def refresh(self) -> None:
         self.rounds += 1
 
-    def take_survey(
+    def apply_survey(
         self, leader: _members.Leader, sample: _freshness.Sample, heard: float
     ) -> None:
         self.covers = max(self.covers, sample.at)
--- a/packages/proxy/src/ferry_proxy/tests/test_teams.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_teams.py
@@ -73,7 +73,7 @@
 def test_where_no_key_is_needed(has_teams, is_open):
     route = attrs.evolve(ROUTE, is_open=is_open)
     access = _access.Access(has_teams, lambda: configuration(1), fakes.REFUSALS)
-    assert access.identify(route, "") is _teams.ANYBODY
+    assert access.identify(route, "") is _teams.ANONYMOUS
 
 
 @pytest.mark.parametrize(
@@ -200,7 +200,7 @@
 def test_the_counters_of_teams_are_bounded():
     metrics = _metrics.Metrics()
     for number in range(_metrics.MAX_TEAMS + 50):
-        metrics.note_team(f"t{number}", "ran")
+        metrics.record_team_statement(f"t{number}", "ran")
     lines = [
         line
         for line in metrics.render().decode().splitlines()
--- a/packages/standins/src/ferry_standins/_lab.py
+++ b/packages/standins/src/ferry_standins/_lab.py
@@ -216,7 +216,7 @@
                 n.watch.opinion(member, term)
             )
             call = self.call(asker.centre, node, ask)
-            futs.append(decisions.within(asker.timers, 0.3, call))
+            futs.append(decisions.with_timeout(asker.timers, 0.3, call))
 
         def union(done: "list[decisions.Settled[set[str]]]") -> set[str]:
             votes: set[str] = set()
--- a/packages/standins/src/ferry_standins/_lab_node.py
+++ b/packages/standins/src/ferry_standins/_lab_node.py
@@ -69,7 +69,7 @@
                 position=self.position,
             )
         )
-        self.timers.on_late(self.watch.note_lateness)
+        self.timers.on_late(self.watch.note_process_pause)
 
     def take(self, record: decisions.Record) -> None:
         """Takes in a record."""
--- a/packages/standins/src/ferry_standins/_lab_session.py
+++ b/packages/standins/src/ferry_standins/_lab_session.py
@@ -65,12 +65,12 @@
         is_read = value is None
         if not self._keeps_floors:
             self.state = attrs.evolve(
-                self.state, floors=((_lab.DATABASE, decisions.ZERO),)
+                self.state, floors=((_lab.DATABASE, decisions.ZERO_POSITION),)
             )
         elif is_read and self.state.staleness_s > 0 and not self._has_token:
             found = yield node.dispatcher.find_floor(_lab.DATABASE, self.name)
             if found is not None:
-                self.state = self.state.with_seen(_lab.DATABASE, found)
+                self.state = self.state.with_floor(_lab.DATABASE, found)
                 self._has_token = True
         floor = self.state.floor(_lab.DATABASE)
         req = _messages.ExecuteRequest(
@@ -95,14 +95,14 @@
         ended = lab.timers.now()
         outcome = decisions.Outcome.RAN
         if reply.reason:
-            outcome = decisions.BY_NAME[reply.reason].outcome
+            outcome = decisions.REASONS_BY_NAME[reply.reason].outcome
         else:
             self.latencies.append(ended - begun)
             if not is_read:
                 self._wrote_at = ended
             if reply.position:
                 seen = decisions.Position.from_text(reply.position)
-                self.state = self.state.with_seen(_lab.DATABASE, seen)
+                self.state = self.state.with_floor(_lab.DATABASE, seen)
         if value is None:
             value = msgpack.unpackb(reply.data) if not reply.reason else 0
         operation = _history.Operation(
--- a/packages/standins/src/ferry_standins/_swarm.py
+++ b/packages/standins/src/ferry_standins/_swarm.py
@@ -72,7 +72,7 @@
             rng,
             self._changed,
         )
-        self.timers.on_late(self.view.note_lateness)
+        self.timers.on_late(self.view.note_process_pause)
         self.store = _virtual_store.VirtualStore(self.timers, swarm.store)
         self.spreader: _spread.Spreader | None = None
         if swarm.plan.spreads:
--- a/packages/standins/src/ferry_standins/tests/test_ownership.py
+++ b/packages/standins/src/ferry_standins/tests/test_ownership.py
@@ -64,7 +64,7 @@
 def contend(lab, services, rounds=30):
     """Writes through both in turn; returns floors below an earlier write."""
     missed = 0
-    written = decisions.ZERO
+    written = decisions.ZERO_POSITION
     for number in range(1, rounds + 1):
         service = lab.random.choice(services)
         payload = msgpack.packb(["w", "clerk", number])
