--- a/packages/ctl/src/ferry_ctl/_bench_explore.py
+++ b/packages/ctl/src/ferry_ctl/_bench_explore.py
@@ -78,7 +78,7 @@
     def _store(self, member: str, length: float) -> None:
         store = self._lab.store
         if self._lab.random.random() < 0.5:
-            store.lose_answers += 1
+            store.replies_to_drop += 1
             return
         store.down = True
 
@@ -98,7 +98,7 @@
     """Runs one schedule; returns the verdict, the requests and the faults."""
     lab = standins.Lab(standins.LabPlan(statement_s=0.004), seed)
     lab.timers.advance(1.5)
-    nodes = list(lab.members_of.values())
+    nodes = list(lab.nodes_by_name.values())
     sessions = [
         standins.LabSession(lab, f"s{i}", timeout_s=3.0)
         for i in range(SESSIONS)
--- a/packages/ctl/src/ferry_ctl/_bench_failover.py
+++ b/packages/ctl/src/ferry_ctl/_bench_failover.py
@@ -46,7 +46,7 @@
 
     def __init__(self, lab: standins.Lab) -> None:
         self._lab = lab
-        self._nodes = list(lab.members_of.values())
+        self._nodes = list(lab.nodes_by_name.values())
         self._homes: dict[str, standins.LabNode | None] = {}
         self._sessions: list[standins.LabSession] = []
         homes = [*self._nodes, *self._nodes, None, None]
@@ -193,7 +193,7 @@
             case 0:
                 _pause_member(lab, lab.random.choice(members), length)
             case 1:
-                node = lab.random.choice(list(lab.members_of.values()))
+                node = lab.random.choice(list(lab.nodes_by_name.values()))
                 node.timers.pause(length)
             case _:
                 lab.link_faults.delay_s = lab.random.uniform(0.002, 0.9)
--- a/packages/ctl/src/ferry_ctl/_bench_overload.py
+++ b/packages/ctl/src/ferry_ctl/_bench_overload.py
@@ -50,7 +50,7 @@
     )
     lab.timers.advance(1.5)
     capacity = SLOTS / STATEMENT_S
-    nodes = list(lab.members_of.values())
+    nodes = list(lab.nodes_by_name.values())
     end = lab.timers.now() + RUN_S
     begun = lab.timers.now()
     held = 0
--- a/packages/ctl/src/ferry_ctl/_bench_replicas.py
+++ b/packages/ctl/src/ferry_ctl/_bench_replicas.py
@@ -92,7 +92,7 @@
         self._session = standins.LabSession(
             lab, f"clerk-{number}", keeps_floors=floors
         )
-        self._nodes = list(lab.members_of.values())
+        self._nodes = list(lab.nodes_by_name.values())
         self._end = lab.timers.now() + RUN_S
         self._think()
 
@@ -136,7 +136,7 @@
         for op in lab.operations
         if not op.is_write and op.outcome is decisions.Outcome.RAN
     ]
-    nodes = lab.members_of.values()
+    nodes = lab.nodes_by_name.values()
     by_replicas = sum(n.dispatcher.reads_by_replicas for n in nodes)
     by_primary = sum(n.dispatcher.reads_by_primary for n in nodes)
     failed = [
--- a/packages/ctl/src/ferry_ctl/routes.py
+++ b/packages/ctl/src/ferry_ctl/routes.py
@@ -15,9 +15,9 @@
 import click
 import ferry_proxy as proxy
 
-from ferry_ctl import route_book
+from ferry_ctl import route_analysis
 
-Reader = Callable[[bytes], route_book.Book]
+Reader = Callable[[bytes], route_analysis.Book]
 FOUND = 1  # Exit code: something is missing, wrong or different.
 SHOWN_NAMES = 3  # Databases of a fold that its line names.
 MS_PER_S = 1000.0
@@ -56,7 +56,7 @@
             and service in ("", r.service)
             and kind in ("", r.consistency.value)
         )
-        folds = route_book.fold(chosen)
+        folds = route_analysis.fold(chosen)
         _show([attrs.asdict(f) for f in folds], _table(folds), as_json)
 
     @routes.command()
@@ -66,7 +66,7 @@
     def which(file: str, database: str, as_json: bool) -> None:
         """Tells which route the callers of a database get, and why."""
         book = _load(read, file)
-        choice = route_book.choose(book, database)
+        choice = route_analysis.choose(book, database)
         _show(_plain(choice), _explained(book, database, choice), as_json)
         _end(choice.route is None)
 
@@ -75,7 +75,7 @@
     @_as_json
     def check(file: str, as_json: bool) -> None:
         """Names everything that is wrong, each with its place."""
-        found = list(route_book.problems(_load(read, file)))
+        found = list(route_analysis.problems(_load(read, file)))
         _show(found, iter(found or ["nothing is wrong"]), as_json)
         _end(bool(found))
 
@@ -85,7 +85,7 @@
     @_as_json
     def diff(before: str, after: str, as_json: bool) -> None:
         """Tells which databases get another route, and what differs."""
-        found = route_book.changes(_load(read, before), _load(read, after))
+        found = route_analysis.changes(_load(read, before), _load(read, after))
         rows = [{"kind": c.kind, **_plain(c)} for c in found]
         _show(rows, _differences(found), as_json)
         _end(bool(found))
@@ -93,7 +93,7 @@
     return routes
 
 
-def _load(read: Reader, path: str) -> route_book.Book:
+def _load(read: Reader, path: str) -> route_analysis.Book:
     try:
         return read(pathlib.Path(path).read_bytes())
     except proxy.InvalidItemError as exc:
@@ -124,7 +124,7 @@
     return attrs.asdict(value, value_serializer=serialize)
 
 
-def _table(folds: list[route_book.Fold]) -> Iterator[str]:
+def _table(folds: list[route_analysis.Fold]) -> Iterator[str]:
     yield (
         f"{'routes':>6} {'service':<20} {'kind':<8} {'prio':>4} "
         f"{'limit ms':>8} {'target ms':>9} {'stale ms':>8}  databases"
@@ -144,7 +144,7 @@
 
 
 def _explained(
-    book: route_book.Book, database: str, choice: route_book.Choice
+    book: route_analysis.Book, database: str, choice: route_analysis.Choice
 ) -> Iterator[str]:
     route = choice.route
     if route is None:
@@ -171,7 +171,7 @@
         yield f"passed over: route {other.name}, an earlier one in the document"
 
 
-def _differences(found: list[route_book.Change]) -> Iterator[str]:
+def _differences(found: list[route_analysis.Change]) -> Iterator[str]:
     for change in found:
         route = change.after or change.before
         assert route is not None
--- a/packages/ctl/src/ferry_ctl/tests/test_routes.py
+++ b/packages/ctl/src/ferry_ctl/tests/test_routes.py
@@ -7,7 +7,7 @@
 import ferry_proxy as proxy
 import pytest
 
-from ferry_ctl import route_book
+from ferry_ctl import route_analysis
 from ferry_ctl import routes
 
 BOUNDED = proxy.Consistency.BOUNDED
@@ -18,11 +18,11 @@
     "r-lookup", "lookup", "registry", BOUNDED, 3.0, 0.8, 2, 1.5
 )
 REGISTRY = proxy.Service("registry", 117, 1)
-BOOK = route_book.Book(7, (ORDERS, LOOKUP), (REGISTRY,), 3.0)
+BOOK = route_analysis.Book(7, (ORDERS, LOOKUP), (REGISTRY,), 3.0)
 MANY = 10_000
 
 
-def more(*extra: proxy.Route, **changed) -> route_book.Book:
+def more(*extra: proxy.Route, **changed) -> route_analysis.Book:
     book = attrs.evolve(BOOK, routes=(*BOOK.routes, *extra))
     return attrs.evolve(book, **changed)
 
@@ -53,30 +53,30 @@
     ],
 )
 def test_a_check_names_each_mistake(book, expected):
-    found = list(route_book.problems(book))
+    found = list(route_analysis.problems(book))
     assert len(found) == len(expected)
     assert all(e in f for e, f in zip(expected, found, strict=True))
 
 
 def test_routes_that_differ_in_a_name_alone_are_folded():
     extra = [like(LOOKUP, database=f"d{n}") for n in range(1400)]
-    folds = route_book.fold((*BOOK.routes, *extra))
+    folds = route_analysis.fold((*BOOK.routes, *extra))
     assert [len(f.databases) for f in folds] == [1401, 1]
     assert folds[0].databases[:2] == ("lookup", "d0")
 
 
 def test_of_several_routes_for_a_database_the_last_counts():
     later = like(LOOKUP, database="orders")
-    choice = route_book.choose(more(later), "orders")
-    assert choice == route_book.Choice(later, (ORDERS,), REGISTRY)
+    choice = route_analysis.choose(more(later), "orders")
+    assert choice == route_analysis.Choice(later, (ORDERS,), REGISTRY)
 
 
 @pytest.mark.parametrize(
     ("database", "similar"), [("ordres", ("orders",)), ("zzz", ())]
 )
 def test_a_database_without_a_route_shows_similar_ones(database, similar):
-    choice = route_book.choose(BOOK, database)
-    assert choice == route_book.Choice(None, similar=similar)
+    choice = route_analysis.choose(BOOK, database)
+    assert choice == route_analysis.Choice(None, similar=similar)
 
 
 def test_a_new_configuration_is_compared_by_database():
@@ -84,7 +84,7 @@
         BOOK,
         routes=(attrs.evolve(ORDERS, timeout_s=2.0), like(ORDERS)),
     )
-    found = route_book.changes(BOOK, after)
+    found = route_analysis.changes(BOOK, after)
     routes_of = [c.after or c.before for c in found]
     told = [
         (c.kind, r.database if r else "", c.fields)
@@ -95,10 +95,10 @@
         ("altered", "orders", ("timeout_s",)),
         ("gained", "other", ()),
     ]
-    assert route_book.changes(BOOK, BOOK) == []
+    assert route_analysis.changes(BOOK, BOOK) == []
 
 
-def read(value: bytes) -> route_book.Book:
+def read(value: bytes) -> route_analysis.Book:
     """Reads a document of the test's own: how many lookups, and a version."""
     try:
         raw = json.loads(value)
--- a/packages/decisions/src/ferry_decisions/tests/test_promotion.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_promotion.py
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("lost", [0, 1, 2])
 def test_lost_answers_are_read_back(lab, lost):
-    lab.store.lose_answers = lost
+    lab.store.replies_to_drop = lost
     fut = attempt(lab)
     lab.timers.advance(6.0)
     assert fut.result().term == 2
--- a/packages/node/src/ferry_node/_admin.py
+++ b/packages/node/src/ferry_node/_admin.py
@@ -165,7 +165,7 @@
         )
 
     def _on_loop(self, work: typing.Callable[[], T]) -> T:
-        fut = runtime.call_on(
+        fut = runtime.submit_to_loop(
             self._node.loop, lambda: decisions.completed(work())
         )
         return fut.result(CALL_TIMEOUT_S)
--- a/packages/node/src/ferry_node/_contracts_api.py
+++ b/packages/node/src/ferry_node/_contracts_api.py
@@ -84,13 +84,13 @@
             ApiError: There is none.
         """
         book = self._node.contracts
-        fut = runtime.call_on(
+        fut = runtime.submit_to_loop(
             self._node.loop, lambda: decisions.completed(book.get(customer))
         )
         try:
             return fut.result(WAIT_S)
         except decisions.UnknownCustomerError as exc:
-            if not self._node.spreader.is_current:
+            if not self._node.directory_sync.is_current:
                 raise ApiError(
                     503, "outdated", "contracts may be outdated here"
                 ) from exc
@@ -124,7 +124,9 @@
         return self._run(lambda: self._change(customer, None, change))
 
     def _run(self, flow: "typing.Callable[[], decisions.Flow[T]]") -> T:
-        fut = runtime.call_on(self._node.loop, lambda: decisions.start(flow()))
+        fut = runtime.submit_to_loop(
+            self._node.loop, lambda: decisions.start(flow())
+        )
         try:
             return fut.result(WAIT_S)
         except decisions.StoreUnavailableError as exc:
@@ -159,7 +161,7 @@
         wanted = _wanted(customer, body, current, change, change_id)
         value = json.dumps(decisions.unstructure(wanted)).encode()
         written = yield from self._write(key, value, revision, change_id)
-        self._node.spreader.publish([written])
+        self._node.directory_sync.publish([written])
         yield from self._audit(wanted)
         return wanted
 
--- a/packages/node/src/ferry_node/_spread.py
+++ b/packages/node/src/ferry_node/_directory_sync.py
@@ -32,7 +32,7 @@
 )
 
 
-class Spreader:
+class DirectorySync:
     """Keeps this node's directory up to date, and others' with it."""
 
     reads: tuple[decisions.BoardKey[typing.Any], ...] = (_board.STORE_READER,)
@@ -96,7 +96,7 @@
         for watch in self._watches:
             watch.cancel()
 
-    def take(self, entries: list[decisions.StoreEntry]) -> None:
+    def merge(self, entries: list[decisions.StoreEntry]) -> None:
         """Takes in entries from anywhere; a reader passes on what is new."""
         taken = self._directory.merge(entries)
         is_reader = self._board.read(_board.STORE_READER)
@@ -125,7 +125,7 @@
 
     def _notified(self, entry: decisions.StoreEntry) -> None:
         self.store_reachable = True
-        self.take([entry])
+        self.merge([entry])
 
     def _push(
         self, entries: list[decisions.StoreEntry], everywhere: bool
@@ -169,7 +169,7 @@
         listed: dict[str, decisions.StoreEntry] = {}
         for prefix in PREFIXES:
             entries = yield self._store.list(prefix)
-            self.take(entries)
+            self.merge(entries)
             listed.update({e.key: e for e in entries})
         self._restorer.look(listed)
         # A store that came back from a copy may lack what peers know.
@@ -202,7 +202,7 @@
                 full=True,
             ),
         )
-        self.take(_codec.unpack_entries(reply.entries))
+        self.merge(_codec.unpack_entries(reply.entries))
         self._confirm()
         theirs = _codec.unpack_versions(reply.versions)
         newer = self._directory.newer_than(theirs)
--- a/packages/node/src/ferry_node/_entry.py
+++ b/packages/node/src/ferry_node/_entry.py
@@ -183,7 +183,7 @@
         if record is None or not record.primary:
             return None
         request = _messages.PositionRequest(database, record.primary, session)
-        target = self._targets.one(database, record, record.primary)
+        target = self._targets.find_target(database, record, record.primary)
         if target is None:
             return None
         if target.node.name == self._ctx.cfg.node:
@@ -221,7 +221,7 @@
         for held in list(self._held[database]):
             decisions.resolve(held, None)
         late = list(self._under_way[database])
-        lost = _peers.PeerLostError("the primary was replaced", handed=True)
+        lost = _peers.PeerLostError("the primary was replaced", was_sent=True)
         self._ctx.timers.after(
             GIVE_UP_S, lambda: [decisions.reject(f, lost) for f in late]
         )
@@ -364,7 +364,7 @@
     req: _messages.ExecuteRequest, exc: _peers.PeerLostError
 ) -> decisions.Reason:
     """Returns what a lost stream to a serving node means for a request."""
-    if not exc.handed:
+    if not exc.was_sent:
         return decisions.NO_SERVING_NODE
     if (req.begin or req.channel) and not req.may_end:
         return decisions.TRANSACTION_LOST
--- a/packages/node/src/ferry_node/_execution.py
+++ b/packages/node/src/ferry_node/_execution.py
@@ -6,9 +6,9 @@
 import ferry_decisions as decisions
 
 from ferry_node import _endpoint
-from ferry_node import _gates
 from ferry_node import _idempotency
 from ferry_node import _pools
+from ferry_node import _request_checks
 
 READ_ONLY_SQLSTATE = "25006"
 STALE_TERM_SQLSTATE = "57P04"
@@ -87,7 +87,7 @@
         self._sweeper.stop()
 
     def run(
-        self, work: _gates.Work, channel: Channel | None
+        self, work: _request_checks.Work, channel: Channel | None
     ) -> "decisions.Flow[tuple[_endpoint.EndpointConn, _endpoint.Answer]]":
         """Runs a batch under a slot; returns its connection and answer."""
         slot = yield self._queue.acquire(work.contract, work.deadline)
@@ -105,7 +105,7 @@
 
     def _hand_over(
         self,
-        work: _gates.Work,
+        work: _request_checks.Work,
         conn: _endpoint.EndpointConn,
         in_transaction: bool,
     ) -> "decisions.Flow[_endpoint.Answer]":
@@ -116,7 +116,7 @@
         if in_transaction and conn.closed:
             raise decisions.RequestFailedError(decisions.TRANSACTION_LOST)
         asked_at = self._timers.now()
-        work.handed = True
+        work.was_sent = True
         self.in_flight.add(conn)
         try:
             answer = yield from self._awaited(work, conn)
@@ -130,7 +130,7 @@
         return answer
 
     def _awaited(
-        self, work: _gates.Work, conn: _endpoint.EndpointConn
+        self, work: _request_checks.Work, conn: _endpoint.EndpointConn
     ) -> "decisions.Flow[_endpoint.Answer]":
         """Waits for an answer.
 
@@ -196,7 +196,7 @@
         wait.check_s = min(2 * wait.check_s, LAST_CHECK_S)
 
     def _started(
-        self, work: _gates.Work, conn: _endpoint.EndpointConn
+        self, work: _request_checks.Work, conn: _endpoint.EndpointConn
     ) -> "decisions.Future[_endpoint.Answer]":
         if work.req.idempotency_key:
             flow = _idempotency.run_once(
@@ -219,20 +219,20 @@
 
     def _check(
         self,
-        work: _gates.Work,
+        work: _request_checks.Work,
         conn: _endpoint.EndpointConn,
         answer: _endpoint.Answer,
         in_transaction: bool,
     ) -> None:
         """Refuses an answer that shows less than was asked for."""
         if answer.sqlstate == STALE_TERM_SQLSTATE:
-            work.handed = False
+            work.was_sent = False
             conn.close()
             raise decisions.RequestFailedError(decisions.TERM_CHANGED)
         if work.req.as_primary or in_transaction or answer.streamed:
             return
         refused = answer.sqlstate == READ_ONLY_SQLSTATE
-        floor = _gates.floor_of(work.req)
+        floor = _request_checks.required_floor(work.req)
         shown = answer.position or decisions.ZERO_POSITION
         if refused or not decisions.satisfies(
             shown, floor, self._watch.tracker.history
--- a/packages/node/src/ferry_node/_membership.py
+++ b/packages/node/src/ferry_node/_membership.py
@@ -51,7 +51,7 @@
             random.Random(),
             self._changed,
         )
-        loop.on_late(self._view.note_process_pause)
+        loop.on_process_pause(self._view.note_process_pause)
         self._changed()
         self._timer = decisions.PeriodicTimer(
             loop, cfg.policy.leaving_s, self._fetch, first=0.0
--- a/packages/node/src/ferry_node/_node.py
+++ b/packages/node/src/ferry_node/_node.py
@@ -14,6 +14,7 @@
 from ferry_node import _callers
 from ferry_node import _controllers
 from ferry_node import _conversation
+from ferry_node import _directory_sync
 from ferry_node import _entry
 from ferry_node import _membership
 from ferry_node import _messages
@@ -23,7 +24,6 @@
 from ferry_node import _peers
 from ferry_node import _serving
 from ferry_node import _settings
-from ferry_node import _spread
 from ferry_node import _store
 from ferry_node import _tracing
 from ferry_node import _vms
@@ -58,7 +58,7 @@
             loop, hello, cfg.host, cfg.peer_port, self._peer_server.serve
         )
         self.peers.on_stream_closed.append(self._peer_server.closed)
-        self.spreader = _spread.Spreader(
+        self.directory_sync = _directory_sync.DirectorySync(
             loop, cfg, self.board, self.directory, self.store, self.peers
         )
         self.membership = _membership.MembershipService(
@@ -88,7 +88,7 @@
             loop=loop,
             cfg=cfg,
             contracts=self.contracts,
-            is_current=lambda: self.spreader.is_current,
+            is_current=lambda: self.directory_sync.is_current,
             sessions=_conversation.ConversationContext(
                 timers=loop,
                 dispatcher=self.dispatcher,
@@ -105,7 +105,7 @@
         )
         self.admin = _admin.AdminServer(self)
         self._subscribe()
-        loop.on_late(self._note_lateness)
+        loop.on_process_pause(self._note_lateness)
 
     @property
     def caller_port(self) -> int:
@@ -171,7 +171,7 @@
         self._listener.close()
         self.admin.close()
         self.membership.close()
-        self.spreader.close()
+        self.directory_sync.close()
         self.controller.close()
         self.peers.close()
         self.store.close()
@@ -228,7 +228,7 @@
         self.board.subscribe(
             _controllers.RecordController(self.dispatcher.note_record)
         )
-        self.board.subscribe(self.spreader)
+        self.board.subscribe(self.directory_sync)
 
     def _accept(self, stream: runtime.Stream) -> None:
         if len(self._callers) >= self.cfg.callers.max_connections:
@@ -268,7 +268,7 @@
         """Reads the record's entry back, so that it spreads by revision."""
         entry = yield self.store.get(decisions.record_key(record.database))
         if entry is not None:
-            self.spreader.publish([entry])
+            self.directory_sync.publish([entry])
 
 
 def _process_id_base(node: str) -> int:
--- a/packages/node/src/ferry_node/_ownership.py
+++ b/packages/node/src/ferry_node/_ownership.py
@@ -42,7 +42,7 @@
         self._lost_at = float("-inf")
         decisions.start(self._keep())
 
-    def lose(self) -> None:
+    def note_lost(self) -> None:
         """Takes in that the member has another owner."""
         if self.owned:
             self.owned = False
@@ -74,7 +74,7 @@
         self._closed = True
         self.owned = False
 
-    def hold_until_owned(self, deadline: float) -> "decisions.Flow[None]":
+    def wait_until_owned(self, deadline: float) -> "decisions.Flow[None]":
         """Waits until the member is owned.
 
         Raises:
@@ -95,7 +95,7 @@
             yield decisions.sleep(self._timers, RETRY_S)
             status = self._watch.statuses.get(self._member.name)
             if status is not None and status.owner != self._owner:
-                self.lose()
+                self.note_lost()
 
     def _claim(self) -> "decisions.Flow[None]":
         """Claims the member, not more than once in a while.
--- a/packages/node/src/ferry_node/_peer_server.py
+++ b/packages/node/src/ferry_node/_peer_server.py
@@ -36,9 +36,13 @@
             case _messages.OpinionRequest() as msg:
                 stream.answer(correlation, self._opinion(msg))
             case _messages.SyncRequest() as msg:
-                stream.answer(correlation, self._node.spreader.answer(msg))
+                stream.answer(
+                    correlation, self._node.directory_sync.answer(msg)
+                )
             case _messages.EntriesPush() as msg:
-                self._node.spreader.take(_codec.unpack_entries(msg.entries))
+                self._node.directory_sync.take(
+                    _codec.unpack_entries(msg.entries)
+                )
             case _messages.VmsPush() as msg:
                 self._node.membership.take(msg)
             case _messages.PositionRequest() as msg:
--- a/packages/node/src/ferry_node/_peers.py
+++ b/packages/node/src/ferry_node/_peers.py
@@ -28,9 +28,9 @@
         handed: Whether the request may have reached the peer.
     """
 
-    def __init__(self, detail: str, handed: bool) -> None:
+    def __init__(self, detail: str, was_sent: bool) -> None:
         super().__init__(detail)
-        self.handed = handed
+        self.was_sent = was_sent
 
 
 @attrs.define(slots=True)
--- a/packages/node/src/ferry_node/_gates.py
+++ b/packages/node/src/ferry_node/_request_checks.py
@@ -22,11 +22,11 @@
     deadline: float
     sink: _endpoint.Sink | None
     asked_at: float
-    handed: bool = False
+    was_sent: bool = False
     streamed: bool = False
 
 
-class Gates:
+class RequestChecks:
     """The conditions for requests at one member."""
 
     def __init__(
@@ -47,7 +47,7 @@
         record = self._watch.record
         return record is not None and record.primary == self._member.name
 
-    def until_fit(self, work: Work) -> "decisions.Flow[None]":
+    def wait_until_eligible(self, work: Work) -> "decisions.Flow[None]":
         """Waits a little for a replica to show what the read needs.
 
         What is known of the replica may be as old as the last probe, so it
@@ -58,7 +58,7 @@
             RequestFailedError: It does not show it in time.
             EndpointUnreachableError: It cannot be asked.
         """
-        floor = floor_of(work.req)
+        floor = required_floor(work.req)
         tracker = self._watch.tracker
         name = self._member.name
         end = min(work.deadline, self._timers.now() + self._cfg.catch_up_s)
@@ -79,7 +79,7 @@
             tracker.note_applied(name, status.applied)
             asked = True
 
-    def until_responsive(self, work: Work) -> "decisions.Flow[None]":
+    def wait_until_responsive(self, work: Work) -> "decisions.Flow[None]":
         """Holds work back from a member that should not be given any.
 
         Raises:
@@ -111,7 +111,7 @@
             raise decisions.RequestFailedError(decisions.NO_PRIMARY)
         if record is None or not self.leads:
             raise decisions.RequestFailedError(decisions.TERM_CHANGED)
-        if floor_of(work.req).term > record.term:
+        if required_floor(work.req).term > record.term:
             raise decisions.RequestFailedError(
                 decisions.NO_PRIMARY, "the session has seen a later term"
             )
@@ -138,7 +138,7 @@
         if confirmations is None or record is None:
             raise decisions.RequestFailedError(decisions.ANSWER_LOST)
         if answer.position.term != record.term or not decisions.satisfies(
-            answer.position, floor_of(work.req), record.history
+            answer.position, required_floor(work.req), record.history
         ):
             raise decisions.RequestFailedError(decisions.ANSWER_LOST)
         led_at = work.asked_at
@@ -188,7 +188,7 @@
         return None
 
 
-def floor_of(req: _messages.ExecuteRequest) -> decisions.Position:
+def required_floor(req: _messages.ExecuteRequest) -> decisions.Position:
     """Returns the position that a request has to show."""
     if not req.floor:
         return decisions.ZERO_POSITION
--- a/packages/node/src/ferry_node/_serving.py
+++ b/packages/node/src/ferry_node/_serving.py
@@ -12,10 +12,10 @@
 
 from ferry_node import _endpoint
 from ferry_node import _execution
-from ferry_node import _gates
 from ferry_node import _messages
 from ferry_node import _ownership
 from ferry_node import _pools
+from ferry_node import _request_checks
 from ferry_node import _settings
 
 NOT_OWNER_SQLSTATE = "57P05"
@@ -41,7 +41,9 @@
         self._contracts = contracts
         self._cfg = cfg.policy
         self.owner = f"{cfg.node}/{secrets.token_hex(4)}"
-        self.gates = _gates.Gates(timers, watch, member, cfg.policy)
+        self.request_checks = _request_checks.RequestChecks(
+            timers, watch, member, cfg.policy
+        )
         self._numbers = channel_numbers
         database = watch.database
         order = decisions.ADMISSION_POLICIES.get(cfg.policy.admission)
@@ -77,7 +79,7 @@
     @property
     def leads(self) -> bool:
         """Whether the member is the primary, by the record."""
-        return self.gates.leads
+        return self.request_checks.leads
 
     def configure(self) -> None:
         """Takes in the present record: the term, and the part of the limit."""
@@ -116,7 +118,7 @@
         return decisions.start(self._position(session))
 
     def _prove(self) -> "decisions.Flow[decisions.MemberStatus | None]":
-        return (yield from self.gates.prove(self.owner))
+        return (yield from self.request_checks.prove(self.owner))
 
     def _position(
         self, session: str
@@ -157,16 +159,16 @@
     ) -> "decisions.Flow[_messages.ExecuteReply]":
         now = self._timers.now()
         deadline = now + req.budget_s
-        work: _gates.Work | None = None
+        work: _request_checks.Work | None = None
         try:
             contract = self._contract(req)
-            work = _gates.Work(req, contract, deadline, sink, now)
+            work = _request_checks.Work(req, contract, deadline, sink, now)
             if req.channel:
                 return (yield from self._continue(work))
             if not req.as_primary:
-                yield from self.gates.until_fit(work)
-            yield from self.gates.until_responsive(work)
-            yield from self.ownership.hold_until_owned(work.deadline)
+                yield from self.request_checks.wait_until_eligible(work)
+            yield from self.request_checks.wait_until_responsive(work)
+            yield from self.ownership.wait_until_owned(work.deadline)
             if req.begin:
                 return (yield from self._begin(work))
             return (yield from self._run_alone(work))
@@ -185,10 +187,10 @@
             return _failure(decisions.ANSWER_LOST, type(exc).__name__)
 
     def _reason(
-        self, work: _gates.Work | None, exc: Exception
+        self, work: _request_checks.Work | None, exc: Exception
     ) -> decisions.Reason:
         """Returns what a caller may conclude from a failure below."""
-        if work is not None and work.handed:
+        if work is not None and work.was_sent:
             in_transaction = work.req.begin or bool(work.req.channel)
             if in_transaction and not work.req.may_end:
                 return decisions.TRANSACTION_LOST
@@ -198,7 +200,7 @@
             return decisions.ANSWER_LOST
         login = isinstance(exc, _endpoint.EndpointLoginError)
         if login and exc.sqlstate == NOT_OWNER_SQLSTATE:  # type: ignore[attr-defined]
-            self.ownership.lose()
+            self.ownership.note_lost()
             return decisions.NO_SERVING_NODE
         if login and exc.sqlstate == _execution.STALE_TERM_SQLSTATE:  # type: ignore[attr-defined]
             return decisions.TERM_CHANGED
@@ -216,7 +218,7 @@
         return contract
 
     def _run_alone(
-        self, work: _gates.Work
+        self, work: _request_checks.Work
     ) -> "decisions.Flow[_messages.ExecuteReply]":
         """Runs a batch outside a transaction."""
         conn, answer = yield from self._executor.run(work, None)
@@ -228,7 +230,7 @@
         return _reply(answer, 0)
 
     def _begin(
-        self, work: _gates.Work
+        self, work: _request_checks.Work
     ) -> "decisions.Flow[_messages.ExecuteReply]":
         """Runs a batch that opens a transaction."""
         seat = None
@@ -250,7 +252,7 @@
         return _reply(answer, channel.number)
 
     def _continue(
-        self, work: _gates.Work
+        self, work: _request_checks.Work
     ) -> "decisions.Flow[_messages.ExecuteReply]":
         """Runs a batch of an open transaction."""
         channel = self.channels.get(work.req.channel)
@@ -274,16 +276,16 @@
         return _reply(answer, 0)
 
     def _acknowledge(
-        self, work: _gates.Work, answer: _endpoint.Answer
+        self, work: _request_checks.Work, answer: _endpoint.Answer
     ) -> "decisions.Flow[None]":
         """Confirms an answer and remembers the session's write."""
-        yield from self.gates.confirm(work, answer)
+        yield from self.request_checks.confirm(work, answer)
         if not work.req.read and answer.position is not None:
             self.ownership.floors.note(work.req.session, answer.position)
 
     def _open_channel(
         self,
-        work: _gates.Work,
+        work: _request_checks.Work,
         conn: _endpoint.EndpointConn,
         seat: decisions.Slot | None,
     ) -> _execution.Channel:
--- a/packages/node/src/ferry_node/_status.py
+++ b/packages/node/src/ferry_node/_status.py
@@ -94,7 +94,7 @@
         stopping=node.stopping,
         nodes=tuple(n.name for n in board.read(_board.NODES)),
         store_reader=board.read(_board.STORE_READER),
-        store_reachable=node.spreader.store_reachable,
+        store_reachable=node.directory_sync.store_reachable,
         vm_list_reachable=node.membership.list_reachable,
         callers=node.caller_count,
         contracts=node.contracts.versions(),
--- a/packages/node/src/ferry_node/_store.py
+++ b/packages/node/src/ferry_node/_store.py
@@ -147,7 +147,7 @@
 
     def _submit(self, work: Callable[[], T]) -> "decisions.Future[T]":
         self.calls += 1
-        return runtime.on_loop(self._loop, self._executor.submit(work))
+        return runtime.relay_to_loop(self._loop, self._executor.submit(work))
 
     def _range(
         self, body: dict[str, typing.Any]
--- a/packages/node/src/ferry_node/_targets.py
+++ b/packages/node/src/ferry_node/_targets.py
@@ -66,10 +66,10 @@
                 database,
                 self._read_request(req, database, record, since_write_s),
             )
-        found = [self.one(req.database, record, n) for n in names if n]
+        found = [self.find_target(req.database, record, n) for n in names if n]
         return [t for t in found if t is not None]
 
-    def one(
+    def find_target(
         self, name: str, record: decisions.Record, member: str
     ) -> Target | None:
         """Returns a member with its serving node; None where no node is."""
--- a/packages/node/src/ferry_node/_vms.py
+++ b/packages/node/src/ferry_node/_vms.py
@@ -88,7 +88,9 @@
 
     def fetch(self) -> "decisions.Future[VmList]":
         """Reads the list; fails with `VmListUnavailableError`."""
-        return runtime.on_loop(self._loop, self._executor.submit(self._read))
+        return runtime.relay_to_loop(
+            self._loop, self._executor.submit(self._read)
+        )
 
     def close(self) -> None:
         """Ends the executor."""
--- a/packages/proxy/src/ferry_proxy/_proxy.py
+++ b/packages/proxy/src/ferry_proxy/_proxy.py
@@ -87,7 +87,7 @@
         self.ticker.subscribe(policy.probe_s, self._groups.survey)
         self.ticker.subscribe(CHECK_S, self._check)
         self.ticker.subscribe(SWEEP_S, self._sweep)
-        loop.on_late(self._groups.exclude_pause)
+        loop.on_process_pause(self._groups.exclude_pause)
         _gauges.add(
             self.metrics,
             _gauges.Sources(
--- a/packages/runtime/src/ferry_runtime/__init__.py
+++ b/packages/runtime/src/ferry_runtime/__init__.py
@@ -6,8 +6,8 @@
 from ferry_runtime._http import HttpRequest
 from ferry_runtime._http import HttpServer
 from ferry_runtime._loop import EventLoop
-from ferry_runtime._loop import call_on
-from ferry_runtime._loop import on_loop
+from ferry_runtime._loop import relay_to_loop
+from ferry_runtime._loop import submit_to_loop
 from ferry_runtime._streams import Listener
 from ferry_runtime._streams import Stream
 from ferry_runtime._streams import StreamClosedError
@@ -27,7 +27,7 @@
     "Stream",
     "StreamClosedError",
     "ValueDecoder",
-    "call_on",
+    "submit_to_loop",
     "connect",
-    "on_loop",
+    "relay_to_loop",
 ]
--- a/packages/runtime/src/ferry_runtime/_loop.py
+++ b/packages/runtime/src/ferry_runtime/_loop.py
@@ -63,7 +63,7 @@
         heapq.heappush(self._timers, (timer.due, next(self._order), timer))
         return timer
 
-    def on_late(self, callback: Callable[[float], object]) -> None:
+    def on_process_pause(self, callback: Callable[[float], object]) -> None:
         """Subscribes to pauses of this process.
 
         Args:
@@ -187,7 +187,7 @@
 T = typing.TypeVar("T")
 
 
-def on_loop(
+def relay_to_loop(
     loop: EventLoop, fut: "concurrent.futures.Future[T]"
 ) -> "decisions.Future[T]":
     """Returns a future that completes on the loop when `fut` does elsewhere."""
@@ -196,7 +196,7 @@
     return out
 
 
-def call_on(
+def submit_to_loop(
     loop: EventLoop, work: Callable[[], "decisions.Future[T]"]
 ) -> "concurrent.futures.Future[T]":
     """Starts work on the loop from another thread; returns its future."""
--- a/packages/standins/src/ferry_standins/_control.py
+++ b/packages/standins/src/ferry_standins/_control.py
@@ -58,9 +58,9 @@
         raise _log.RefusedError(f"promised {replica.promised}")
     common = member.group.common_prefix(member.name, order.primary)
     start = dict(order.starts)[order.term]
-    was_cut = replica.follow(order.term, order.primary, common, start)
+    was_truncated = replica.follow(order.term, order.primary, common, start)
     member.drop_callers()
-    if was_cut:
+    if was_truncated:
         member.rebuild()
 
 
--- a/packages/standins/src/ferry_standins/_fleet.py
+++ b/packages/standins/src/ferry_standins/_fleet.py
@@ -22,7 +22,7 @@
 
 ADMIN_TOKEN = "demo-token"  # noqa: S105 - of a stand-in on loopback
 
-KILL_WAIT_S = 10.0  # Bounds a run that hangs.
+KILL_TIMEOUT_S = 10.0  # Bounds a run that hangs.
 
 
 @attrs.frozen(slots=True)
@@ -109,14 +109,14 @@
         Returns once it has ended: nothing that is sent later reaches it.
         """
         found = self.nodes.pop(name)
-        closed = runtime.call_on(found.loop, lambda: _closed(found))
-        closed.result(KILL_WAIT_S)
+        closed = runtime.submit_to_loop(found.loop, lambda: _closed(found))
+        closed.result(KILL_TIMEOUT_S)
         found.loop.stop()
 
     def stop_node(self, name: str) -> "concurrent.futures.Future[int]":
         """Begins a planned stop; the future counts what was cut off."""
         found = self.nodes[name]
-        return runtime.call_on(found.loop, found.stop)
+        return runtime.submit_to_loop(found.loop, found.stop)
 
     def put(self, key: str, value: object) -> None:
         """Writes a document to the store, over whatever is there."""
@@ -228,7 +228,9 @@
 
     def on_loop(self, work: Callable[[], object]) -> None:
         """Runs work on the stand-ins' loop and waits for it."""
-        fut = runtime.call_on(self.loop, lambda: decisions.completed(work()))
+        fut = runtime.submit_to_loop(
+            self.loop, lambda: decisions.completed(work())
+        )
         fut.result(CALL_TIMEOUT_S)
 
 
--- a/packages/standins/src/ferry_standins/_kv.py
+++ b/packages/standins/src/ferry_standins/_kv.py
@@ -25,12 +25,12 @@
     Attributes:
         down: Whether every call fails.
         delay_s: Time that each call takes, in seconds.
-        lose_answers: How many of the next writes take effect unanswered.
+        replies_to_drop: How many of the next writes take effect unanswered.
     """
 
     down: bool = False
     delay_s: float = 0.0
-    lose_answers: int = 0
+    replies_to_drop: int = 0
 
 
 @attrs.frozen
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class KvCopy:
+class KvBackup:
     """What the service held at a moment."""
 
     values: dict[str, KvValue]
@@ -72,12 +72,12 @@
         self.era = 0
         self.calls = 0
 
-    def copy(self) -> KvCopy:
+    def copy(self) -> KvBackup:
         """Returns what a later `restore` brings back."""
         with self._lock:
-            return KvCopy(dict(self._values), self.revision)
+            return KvBackup(dict(self._values), self.revision)
 
-    def restore(self, copy: KvCopy) -> None:
+    def restore(self, copy: KvBackup) -> None:
         """Comes back from a copy; all that was written since is gone."""
         with self._lock:
             self.era += 1
@@ -210,8 +210,8 @@
             return
         reply = self._reply(request.path, body)
         wrote = request.path == "/v3/kv/txn" and reply.get("succeeded")
-        if wrote and self.faults.lose_answers > 0:
-            self.faults.lose_answers -= 1
+        if wrote and self.faults.replies_to_drop > 0:
+            self.faults.replies_to_drop -= 1
             request.close_connection = True
             return
         data = json.dumps(reply).encode()
--- a/packages/standins/src/ferry_standins/_lab.py
+++ b/packages/standins/src/ferry_standins/_lab.py
@@ -21,7 +21,7 @@
 
 CUSTOMER = "lone-star"
 DATABASE = "plates"
-PEER_LOSS_S = 1.0
+PEER_SILENCE_TIMEOUT_S = 1.0
 
 
 @attrs.frozen
@@ -79,9 +79,9 @@
         self.nodes = tuple(
             decisions.Node(f"{c}-1", c, "127.0.0.1", 1, 1) for c in plan.centres
         )
-        self.members_of: dict[str, _lab_node.LabNode] = {}
+        self.nodes_by_name: dict[str, _lab_node.LabNode] = {}
         for node in self.nodes:
-            self.members_of[node.name] = _lab_node.LabNode(
+            self.nodes_by_name[node.name] = _lab_node.LabNode(
                 self, node.data_centre, node
             )
         self.operations: list[_history.Operation] = []
@@ -110,7 +110,7 @@
 
     def node_in(self, centre: str) -> _lab_node.LabNode:
         """Returns the node of a data centre."""
-        return self.members_of[f"{centre}-1"]
+        return self.nodes_by_name[f"{centre}-1"]
 
     def primary(self) -> _virtual.VirtualMember:
         """Returns the member that leads the latest term."""
@@ -181,7 +181,9 @@
                 work().add_done_callback(answer)
 
         target.timers.after(delay, arrive)
-        self.timers.after(PEER_LOSS_S, lambda: self._lose(centre, target, fut))
+        self.timers.after(
+            PEER_SILENCE_TIMEOUT_S, lambda: self._lose(centre, target, fut)
+        )
         return fut
 
     def _lose(
@@ -194,10 +196,12 @@
         if fut.done():
             return
         if self.net.is_cut(centre, target.centre):
-            lost = _peers.PeerLostError("silent", handed=True)
+            lost = _peers.PeerLostError("silent", was_sent=True)
             decisions.reject(fut, lost)
             return
-        self.timers.after(PEER_LOSS_S, lambda: self._lose(centre, target, fut))
+        self.timers.after(
+            PEER_SILENCE_TIMEOUT_S, lambda: self._lose(centre, target, fut)
+        )
 
     def ask_opinions(
         self,
@@ -209,7 +213,7 @@
     ) -> "decisions.Future[set[str]]":
         """Asks the other nodes whether the primary is gone."""
         futs = []
-        for node in self.members_of.values():
+        for node in self.nodes_by_name.values():
             if node is asker:
                 continue
             ask = lambda n=node: decisions.completed(  # noqa: E731
@@ -238,7 +242,7 @@
     ) -> None:
         """Spreads a record to every node that can be reached."""
         source.take(record)
-        for node in self.members_of.values():
+        for node in self.nodes_by_name.values():
             if not self.net.is_cut(source.centre, node.centre):
                 delay = self.net.delay(source.centre, node.centre)
                 node.timers.after(delay, lambda n=node: n.take(record))  # type: ignore[misc]
@@ -248,7 +252,7 @@
         entry = self.store.entries.get(decisions.record_key(DATABASE))
         if entry is None:
             return
-        for node in self.members_of.values():
+        for node in self.nodes_by_name.values():
             if node.store.reachable:
                 node.take(decisions.decode_record(entry.value))
 
--- a/packages/standins/src/ferry_standins/_lab_node.py
+++ b/packages/standins/src/ferry_standins/_lab_node.py
@@ -18,7 +18,7 @@
 if typing.TYPE_CHECKING:
     from ferry_standins import _lab
 
-CHECK_S = 0.4
+PEER_CHECK_TIMEOUT_S = 0.4
 
 
 class LabNode:
@@ -69,7 +69,7 @@
                 position=self.position,
             )
         )
-        self.timers.on_late(self.watch.note_process_pause)
+        self.timers.on_process_pause(self.watch.note_process_pause)
 
     def take(self, record: decisions.Record) -> None:
         """Takes in a record."""
@@ -158,7 +158,7 @@
         on_part: Callable[[bytes], object] | None = None,
     ) -> "decisions.Future[typing.Any]":
         """Sends a request; fails with `PeerLostError`."""
-        target = self._lab.members_of[node.name]
+        target = self._lab.nodes_by_name[node.name]
 
         def work() -> "decisions.Future[typing.Any]":
             if isinstance(message, _messages.PositionRequest):
@@ -170,14 +170,16 @@
     def check(self, node: decisions.Node) -> "decisions.Future[None]":
         """Shows life unless the way is cut, as a stream that was idle."""
         lab = self._lab
-        target = lab.members_of[node.name]
+        target = lab.nodes_by_name[node.name]
         alive = lab.call(
             self._centre, target, lambda: decisions.completed(None)
         )
         out: decisions.Future[None] = decisions.Future()
         decisions.forward(alive, out)
-        lost = _peers.PeerLostError("shows no life", handed=False)
-        lab.timers.after(CHECK_S, lambda: decisions.reject(out, lost))
+        lost = _peers.PeerLostError("shows no life", was_sent=False)
+        lab.timers.after(
+            PEER_CHECK_TIMEOUT_S, lambda: decisions.reject(out, lost)
+        )
         return out
 
     def tell(self, node: decisions.Node, message: _messages.Message) -> None:
--- a/packages/standins/src/ferry_standins/_log.py
+++ b/packages/standins/src/ferry_standins/_log.py
@@ -50,13 +50,13 @@
         log: All entries.
         applied: How many of them its reads show.
         promised: The highest term it was fenced at.
-        promised_to: The claim that it promised to.
+        promised_claim_id: The claim that it promised to.
         term: The term that it follows or leads.
         start: The index at which that term began.
         whole: The last term whose start its log has reached. Only in that
             term does its log count when a successor is chosen.
         primary: The member that it follows; its own name if it leads.
-        heard_at: When it last heard from its primary, in seconds.
+        last_heard_at: When it last heard from its primary, in seconds.
         cut: Entries that a promotion cut from its log.
     """
 
@@ -64,12 +64,12 @@
     log: list[LogEntry] = attrs.field(factory=list)
     applied: int = 0
     promised: int = 0
-    promised_to: str = ""
+    promised_claim_id: str = ""
     term: int = 0
     start: int = 0
     whole: int = 0
     primary: str = ""
-    heard_at: float = 0.0
+    last_heard_at: float = 0.0
     cut: list[LogEntry] = attrs.field(factory=list)
 
     @property
@@ -106,7 +106,7 @@
             term=self.term,
             owner=owner,
             guests=guests,
-            upstream_silence_s=0.0 if self.leads else now - self.heard_at,
+            upstream_silence_s=0.0 if self.leads else now - self.last_heard_at,
         )
 
     def fence(self, term: int, claim_id: str) -> None:
@@ -118,10 +118,10 @@
         """
         if term < self.promised:
             raise RefusedError(f"promised {self.promised}")
-        if term == self.promised and claim_id != self.promised_to:
+        if term == self.promised and claim_id != self.promised_claim_id:
             raise RefusedError(f"promised {term} to another claim")
         self.promised = term
-        self.promised_to = claim_id
+        self.promised_claim_id = claim_id
 
     def lead(self, term: int, start: int) -> None:
         """Becomes the primary of a term.
@@ -160,12 +160,12 @@
         self.primary = primary
         self.cut = self.log[common:]
         del self.log[common:]
-        was_cut = self.applied > len(self.log)
+        was_truncated = self.applied > len(self.log)
         self.applied = min(self.applied, len(self.log))
-        self._note_whole()
-        return was_cut
+        self._update_complete_term()
+        return was_truncated
 
-    def _note_whole(self) -> None:
+    def _update_complete_term(self) -> None:
         """Counts in the followed term once its start is reached."""
         if len(self.log) >= self.start:
             self.whole = self.term
@@ -191,7 +191,7 @@
             return False
         fresh = entries[len(self.log) - base :]
         self.log.extend(fresh)
-        self._note_whole()
+        self._update_complete_term()
         return True
 
 
@@ -311,7 +311,7 @@
             return
         if not target.receive(term, source.name, entries, base):
             return
-        target.heard_at = self._timers.now()
+        target.last_heard_at = self._timers.now()
         for callback in self._on_received:
             callback(target.name)
         index = len(target.log)
--- a/packages/standins/src/ferry_standins/_member.py
+++ b/packages/standins/src/ferry_standins/_member.py
@@ -14,7 +14,7 @@
 from ferry_standins import _session
 from ferry_standins import _sql
 
-LOCK_WAIT_S = 5.0
+LOCK_TIMEOUT_S = 5.0
 
 
 @attrs.define
@@ -41,13 +41,13 @@
         max_connections: int = 35,
     ) -> None:
         self.name = name
-        self.replica = _log.Replica(name, heard_at=loop.now())
+        self.replica = _log.Replica(name, last_heard_at=loop.now())
         self.faults = MemberFaults()
         self.loop = loop
         self.group = group
         self.max_connections = max_connections
         self.sessions: set[_session.Session] = set()
-        self.most_connections = 0
+        self.peak_connections = 0
         self.owner_id = ""
         self.process_ids = itertools.count(1)
         self.waits: list[tuple[int, _session.Session]] = []
@@ -143,16 +143,18 @@
             work()
             return
         self._lock_queue.append((session, work))
-        self.loop.after(LOCK_WAIT_S, lambda: self._lock_expired(session, work))
+        self.loop.after(
+            LOCK_TIMEOUT_S, lambda: self._lock_expired(session, work)
+        )
 
     def _lock_expired(
         self, session: "_session.Session", work: Callable[[], None]
     ) -> None:
         if (session, work) in self._lock_queue:
             self._lock_queue.remove((session, work))
-            session.fail_locked()
+            session.fail_lock_timeout()
 
-    def lock_for(self, session: "_session.Session | None") -> None:
+    def set_lock_holder(self, session: "_session.Session | None") -> None:
         """Sets the session that has a transaction open."""
         self._lock_holder = session
         if session is None:
@@ -188,9 +190,9 @@
 
     def _received(self, name: str) -> None:
         if name == self.name:
-            self.answer_waits()
+            self.answer_due_waits()
 
-    def answer_waits(self) -> None:
+    def answer_due_waits(self) -> None:
         """Answers the waits whose index has been received."""
         have = len(self.replica.log)
         due = [w for w in self.waits if w[0] <= have]
--- a/packages/standins/src/ferry_standins/_session.py
+++ b/packages/standins/src/ferry_standins/_session.py
@@ -74,7 +74,7 @@
         """Whether a statement is under way."""
         return self._working
 
-    def mute(self) -> None:
+    def blackhole(self) -> None:
         """Takes and gives nothing from now on, as if the way were lost."""
         self._stream.pause()
 
@@ -125,8 +125,8 @@
             self._refuse(NOT_OWNER, "owned by another node")
             return
         member.sessions.add(self)
-        member.most_connections = max(
-            member.most_connections, len(member.sessions)
+        member.peak_connections = max(
+            member.peak_connections, len(member.sessions)
         )
         self._started = True
         self._decoder.expect_statements()
@@ -213,7 +213,7 @@
         if self._queue:
             self._member.loop.call_soon(self._work)
 
-    def fail_locked(self) -> None:
+    def fail_lock_timeout(self) -> None:
         """Ends a statement that waited too long for the lock."""
         self._fail(LOCK_TIMEOUT, "lock timeout")
         self._end_work()
@@ -307,7 +307,7 @@
             self._status = "T"
             self._read_only = "READ ONLY" in sql.upper()
             self._member.run("BEGIN", ())
-            self._member.lock_for(self)
+            self._member.set_lock_holder(self)
         return _sql.Result([], [], "BEGIN")
 
     def _finish(self, word: str) -> _sql.Result:
@@ -322,7 +322,7 @@
         self._status = "I"
         if entry:
             self._commit(entry)
-        self._member.lock_for(None)
+        self._member.set_lock_holder(None)
         return _sql.Result([], [], "COMMIT")
 
     def _write(self, sql: str, values: tuple[typing.Any, ...]) -> _sql.Result:
@@ -347,7 +347,7 @@
         self._status = "I"
         self._read_only = False
         if self._member.lock_holder() is self:
-            self._member.lock_for(None)
+            self._member.set_lock_holder(None)
 
     def _send_rows(self, result: _sql.Result) -> None:
         oids = [_sql.type_oid(v) for v in result.rows[0]] if result.rows else []
--- a/packages/standins/src/ferry_standins/_swarm.py
+++ b/packages/standins/src/ferry_standins/_swarm.py
@@ -12,11 +12,11 @@
 import ferry_decisions as decisions
 from ferry_node import _board
 from ferry_node import _codec
+from ferry_node import _directory_sync
 from ferry_node import _messages
 from ferry_node import _peers
 from ferry_node import _probes
 from ferry_node import _settings
-from ferry_node import _spread
 
 from ferry_standins import _virtual
 from ferry_standins import _virtual_store
@@ -34,18 +34,18 @@
     Attributes:
         nodes: How many nodes.
         centres: How many data centres, spread over three regions.
-        near_s: One-way delay inside a data centre, in seconds.
-        region_s: The same between data centres of a region.
-        far_s: The same between regions.
+        local_delay_s: One-way delay inside a data centre, in seconds.
+        intra_region_delay_s: The same between data centres of a region.
+        inter_region_delay_s: The same between regions.
         loss: Share of the datagrams that are lost.
         spreads: Whether configuration is spread too.
     """
 
     nodes: int = 410
     centres: int = 7
-    near_s: float = 0.0003
-    region_s: float = 0.001
-    far_s: float = 0.04
+    local_delay_s: float = 0.0003
+    intra_region_delay_s: float = 0.001
+    inter_region_delay_s: float = 0.04
     loss: float = 0.0
     spreads: bool = False
 
@@ -72,11 +72,11 @@
             rng,
             self._changed,
         )
-        self.timers.on_late(self.view.note_process_pause)
+        self.timers.on_process_pause(self.view.note_process_pause)
         self.store = _virtual_store.VirtualStore(self.timers, swarm.store)
-        self.spreader: _spread.Spreader | None = None
+        self.directory_sync: _directory_sync.DirectorySync | None = None
         if swarm.plan.spreads:
-            self.spreader = self._start_spreader()
+            self.directory_sync = self._start_directory_sync()
 
     def send(
         self, node: decisions.Node, message: decisions.ProbeMessage
@@ -99,16 +99,16 @@
         self._count(message)
 
         def answer(target: "SwarmNode") -> None:
-            if target.spreader is None:
+            if target.directory_sync is None:
                 return
-            reply = target.spreader.answer(message)
+            reply = target.directory_sync.answer(message)
             target._count(reply)
             self.swarm.carry(
                 target, self.node.name, lambda _: decisions.resolve(fut, reply)
             )
 
         self.swarm.carry(self, node.name, answer)
-        lost = _peers.PeerLostError("lost", handed=True)
+        lost = _peers.PeerLostError("lost", was_sent=True)
         self.timers.after(PEER_TIMEOUT_S, lambda: decisions.reject(fut, lost))
         return fut
 
@@ -120,12 +120,12 @@
         """Sends a one-way message to another node's spreader."""
         self._count(message)
 
-        def take(target: "SwarmNode") -> None:
-            if target.spreader is not None:
+        def merge(target: "SwarmNode") -> None:
+            if target.directory_sync is not None:
                 entries = _codec.unpack_entries(message.entries)
-                target.spreader.take(entries)
+                target.directory_sync.merge(entries)
 
-        self.swarm.carry(self, node.name, take)
+        self.swarm.carry(self, node.name, merge)
 
     def _count(self, message: _messages.Message) -> None:
         size = len(_codec.encode(1, message)) + TCP_HEADER_BYTES
@@ -135,7 +135,7 @@
         if self.swarm.plan.spreads:
             self.board.write(_board.NODES, self.view.alive())
 
-    def _start_spreader(self) -> _spread.Spreader:
+    def _start_directory_sync(self) -> _directory_sync.DirectorySync:
         cfg = _settings.Settings(
             node=self.node.name,
             data_centre=self.node.data_centre,
@@ -143,13 +143,13 @@
             store_url="",
             vm_list_url="",
         )
-        spreader = _spread.Spreader(
+        directory_sync = _directory_sync.DirectorySync(
             self.timers, cfg, self.board, self.directory, self.store, self
         )
         readers = self.swarm.readers(self.node.data_centre)
         self.board.write(_board.STORE_READER, self.node.name in readers)
-        self.board.subscribe(spreader)
-        return spreader
+        self.board.subscribe(directory_sync)
+        return directory_sync
 
 
 class Swarm:
@@ -228,6 +228,10 @@
     def _delay(self, source: SwarmNode, target: SwarmNode) -> float:
         here, there = source.node.data_centre, target.node.data_centre
         if here == there:
-            return self.plan.near_s
+            return self.plan.local_delay_s
         same = int(here[3:]) % REGIONS == int(there[3:]) % REGIONS
-        return self.plan.region_s if same else self.plan.far_s
+        return (
+            self.plan.intra_region_delay_s
+            if same
+            else self.plan.inter_region_delay_s
+        )
--- a/packages/standins/src/ferry_standins/_virtual.py
+++ b/packages/standins/src/ferry_standins/_virtual.py
@@ -39,7 +39,7 @@
         """Runs `callback` once, not before the end of a pause."""
         return self._timers.after(delay, lambda: self._fire(callback))
 
-    def on_late(self, callback: Callable[[float], object]) -> None:
+    def on_process_pause(self, callback: Callable[[float], object]) -> None:
         """Subscribes to pauses of the process."""
         self._late.append(callback)
 
@@ -62,17 +62,17 @@
 
     Attributes:
         delay_s: One-way delay between data centres, in seconds.
-        near_s: One-way delay inside one, in seconds.
+        local_delay_s: One-way delay inside one, in seconds.
         cut: Pairs of places between which nothing gets through.
     """
 
     delay_s: float = 0.001
-    near_s: float = 0.0002
+    local_delay_s: float = 0.0002
     cut: set[frozenset[str]] = attrs.field(factory=set)
 
     def delay(self, here: str, there: str) -> float:
         """Returns the one-way delay between two data centres."""
-        return self.near_s if here == there else self.delay_s
+        return self.local_delay_s if here == there else self.delay_s
 
     def is_cut(self, here: str, there: str) -> bool:
         """Whether nothing gets through between two places."""
@@ -90,7 +90,7 @@
     ) -> None:
         self.described = described
         self.name = described.name
-        self.replica = _log.Replica(described.name, heard_at=timers.now())
+        self.replica = _log.Replica(described.name, last_heard_at=timers.now())
         self.group = group
         self.crashed = False
         self.silent = False
@@ -101,7 +101,7 @@
         self.process_ids = itertools.count(1)
         self.statement_s = 0.0
         self.conns: set[_virtual_conn.VirtualConn] = set()
-        self.most_conns = 0
+        self.peak_conns = 0
         self.values: dict[str, int] = {}
         self._timers = timers
         self._waits: list[tuple[int, Callable[[], None]]] = []
@@ -162,11 +162,11 @@
             raise _log.RefusedError(str(self.replica.promised))
         common = self.group.common_prefix(self.name, order.primary.name)
         start = dict(order.starts)[order.term]
-        was_cut = self.replica.follow(
+        was_truncated = self.replica.follow(
             order.term, order.primary.name, common, start
         )
         self.drop_conns()
-        if was_cut:
+        if was_truncated:
             self.values = {}
             count, self.replica.applied = self.replica.applied, 0
             self.apply_to(count)
--- a/packages/standins/src/ferry_standins/_virtual_conn.py
+++ b/packages/standins/src/ferry_standins/_virtual_conn.py
@@ -93,7 +93,7 @@
         if member.silent or self.closed:
             return
         member.conns.add(self)
-        member.most_conns = max(member.most_conns, len(member.conns))
+        member.peak_conns = max(member.peak_conns, len(member.conns))
         self._link.carry(lambda: decisions.resolve(self.ready, self))
 
     def _expire(self) -> None:
--- a/packages/standins/src/ferry_standins/_virtual_store.py
+++ b/packages/standins/src/ferry_standins/_virtual_store.py
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen
-class StoreCopy:
+class StoreBackup:
     """What the virtual store held at a moment."""
 
     entries: dict[str, decisions.StoreEntry]
@@ -27,7 +27,7 @@
         number: How many changes there were, and one.
         era: How often the store came back from a copy.
         down: Whether no call is answered or takes effect.
-        lose_answers: How many of the next writes take effect unanswered.
+        replies_to_drop: How many of the next writes take effect unanswered.
         delay_s: Time that a call takes, in seconds.
         calls: Calls so far.
         refused_writes: Writes so far whose condition did not hold.
@@ -37,7 +37,7 @@
     number: int = 1
     era: int = 0
     down: bool = False
-    lose_answers: int = 0
+    replies_to_drop: int = 0
     delay_s: float = 0.003
     calls: int = 0
     refused_writes: int = 0
@@ -53,11 +53,11 @@
         known = self.entries.get(key)
         return known.revision if known else self.revision.beginning
 
-    def copy(self) -> StoreCopy:
+    def copy(self) -> StoreBackup:
         """Returns what a later `restore` brings back."""
-        return StoreCopy(dict(self.entries), self.number)
+        return StoreBackup(dict(self.entries), self.number)
 
-    def restore(self, copy: StoreCopy) -> None:
+    def restore(self, copy: StoreBackup) -> None:
         """Comes back from a copy; all that was written since is gone."""
         self.era += 1
         self.number = copy.number
@@ -163,8 +163,8 @@
             except decisions.StoreUnavailableError:
                 fail()
                 return
-            if writes and result is not None and state.lose_answers > 0:
-                state.lose_answers -= 1
+            if writes and result is not None and state.replies_to_drop > 0:
+                state.replies_to_drop -= 1
                 self._timers.after(1.0, fail)
                 return
             self._timers.after(
--- a/packages/standins/src/ferry_standins/tests/test_admin.py
+++ b/packages/standins/src/ferry_standins/tests/test_admin.py
@@ -82,7 +82,7 @@
 
 
 def test_lost_answer_is_resolved_and_repeat_changes_nothing(fleet):
-    fleet.kv.faults.lose_answers = 1
+    fleet.kv.faults.replies_to_drop = 1
     status, first = call(
         fleet,
         "PUT",
--- a/packages/standins/src/ferry_standins/tests/test_failover.py
+++ b/packages/standins/src/ferry_standins/tests/test_failover.py
@@ -129,7 +129,7 @@
     fleet = own_fleet
     insert(fleet, 0, 1)
     primary = fleet.primary("plates")
-    on_loop(fleet, lambda: [s.mute() for s in primary.sessions])
+    on_loop(fleet, lambda: [s.blackhole() for s in primary.sessions])
     helpers.eventually(lambda: insert(fleet, 0, 70))
     assert fleet.primary("plates").name == primary.name
     assert primary.replica.term == 1
--- a/packages/standins/src/ferry_standins/tests/test_faults.py
+++ b/packages/standins/src/ferry_standins/tests/test_faults.py
@@ -14,7 +14,7 @@
 from ferry_decisions import _confirmations
 from ferry_decisions import _promotion
 from ferry_node import _entry
-from ferry_node import _gates
+from ferry_node import _request_checks
 from ferry_node import _serving
 import pytest
 
@@ -48,7 +48,7 @@
     """Returns a lab with roaming sessions, and a function that runs it on."""
     lab = standins.Lab(LAGGING, seed)
     lab.timers.advance(1.5)
-    nodes = list(lab.members_of.values())
+    nodes = list(lab.nodes_by_name.values())
     sessions = [
         standins.LabSession(
             lab, f"s{i}", timeout_s=3.0, keeps_floors=keeps_floors
@@ -158,7 +158,7 @@
 MUTANTS = [
     (
         "acknowledge without a majority",
-        _gates.Gates,
+        _request_checks.RequestChecks,
         "confirm",
         _confirm_nothing,
         "isolated",
@@ -315,7 +315,7 @@
     lab.timers.advance(1.5)
     lab.store.down = True
     session = standins.LabSession(lab, "clerk")
-    nodes = list(lab.members_of.values())
+    nodes = list(lab.nodes_by_name.values())
     for minute in range(60):
         write = session.write(nodes[minute % 3])
         lab.timers.advance(30.0)
--- a/packages/standins/src/ferry_standins/tests/test_ownership.py
+++ b/packages/standins/src/ferry_standins/tests/test_ownership.py
@@ -85,7 +85,7 @@
 def test_contested_member_keeps_floors_and_its_limit(contested):
     lab, first, second = contested
     assert contend(lab, [first, second]) == 0
-    assert lab.primary().most_conns <= lab.database.primary_connections
+    assert lab.primary().peak_conns <= lab.database.primary_connections
     values = [value for _, value in lab.stored()]
     assert len(values) == len(set(values))
     assert len(values) > 5
@@ -102,7 +102,9 @@
         monkeypatch.setattr(service.ownership, "lose", lambda: None)
         monkeypatch.setattr(service.pool, "_owner", "")
         monkeypatch.setattr(
-            service.gates, "prove", lambda _, s=service: _proved(lab, s)
+            service.request_checks,
+            "prove",
+            lambda _, s=service: _proved(lab, s),
         )
     assert contend(lab, [first, second]) > 0
 
--- a/packages/standins/src/ferry_standins/tests/test_restored_store.py
+++ b/packages/standins/src/ferry_standins/tests/test_restored_store.py
@@ -207,7 +207,7 @@
     fleet = own_fleet
     assert test_admin.create(fleet, "unsure")[0] == 200
     copy = fleet.kv.state.copy()
-    fleet.kv.faults.lose_answers = 1
+    fleet.kv.faults.replies_to_drop = 1
     body = {**test_admin.DOCUMENT, "logins": ["clerk"], "share": 9}
     headers = {"If_Match": '"1"', "Idempotency_Key": "once"}
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
@@ -230,8 +230,8 @@
     lab.lose()
     lab.swarm.timers.advance(IN_FORCE_S)
     for node in lab.swarm.nodes.values():
-        assert node.spreader is not None
-        assert node.spreader.is_current
+        assert node.directory_sync is not None
+        assert node.directory_sync.is_current
 
 
 def test_a_node_that_knows_only_the_copy_is_not_current():
@@ -243,13 +243,13 @@
     lab.swarm.alone.add(reader)
     node = lab.swarm.restart(reader)
     lab.swarm.timers.advance(1.5)
-    assert node.spreader is not None
+    assert node.directory_sync is not None
     assert version_at(node) == 1
-    assert not node.spreader.is_current
+    assert not node.directory_sync.is_current
     lab.swarm.alone.clear()
     lab.swarm.timers.advance(IN_FORCE_S)
     assert version_at(node) == 3
-    assert node.spreader.is_current
+    assert node.directory_sync.is_current
 
 
 def version_at(node):
