--- a/packages/decisions/src/ferry_decisions/_admission.py
+++ b/packages/decisions/src/ferry_decisions/_admission.py
@@ -54,14 +54,14 @@
         customer: The customer that sent the statement.
         deadline: Time at which its caller stops waiting, in seconds.
         queued_at: Time at which it was queued, in seconds.
-        future: Completes with the granted slot.
+        fut: Completes with the granted slot.
         timer: Expires the waiter at its deadline.
     """
 
     customer: str
     deadline: float
     queued_at: float
-    future: "_flows.Future[Slot]"
+    fut: "_flows.Future[Slot]"
     timer: _timers.Timer | None = None
 
 
@@ -228,7 +228,7 @@
             deadline - now, lambda: self._expire(waiter)
         )
         self._dispatch()
-        return waiter.future
+        return waiter.fut
 
     def release(self, slot: Slot) -> None:
         """Frees a slot and charges its customer for the time used."""
@@ -289,19 +289,19 @@
             self._waiting -= 1
             if waiter.timer is not None:
                 waiter.timer.cancel()
-            if waiter.future.done():
+            if waiter.fut.done():
                 continue
             slot = self._grant(customer, account, self._timers.now())
-            _flows.resolve(waiter.future, slot)
+            _flows.resolve(waiter.fut, slot)
 
     def _expire(self, waiter: Waiter) -> None:
-        if waiter.future.done():
+        if waiter.fut.done():
             return
         waiters = self._accounts[waiter.customer].waiters
         if waiter in waiters:
             waiters.remove(waiter)
             self._waiting -= 1
         _flows.reject(
-            waiter.future,
+            waiter.fut,
             _outcomes.RequestFailedError(_outcomes.DEADLINE_IN_QUEUE),
         )
--- a/packages/decisions/src/ferry_decisions/tests/test_admission.py
+++ b/packages/decisions/src/ferry_decisions/tests/test_admission.py
@@ -57,10 +57,10 @@
 def test_slots_are_never_idle_while_one_waits():
     timers = decisions.VirtualTimers()
     queue = queue_of(timers, slots=3)
-    futures = [queue.acquire(contract("only"), 1e9) for _ in range(7)]
-    assert [f.done() for f in futures] == [True] * 3 + [False] * 4
-    queue.release(futures[0].result())
-    assert futures[3].done() and not futures[4].done()
+    futs = [queue.acquire(contract("only"), 1e9) for _ in range(7)]
+    assert [f.done() for f in futs] == [True] * 3 + [False] * 4
+    queue.release(futs[0].result())
+    assert futs[3].done() and not futs[4].done()
 
 
 def failed_with(fut):
