--- a/packages/decisions/src/ferry_decisions/__init__.py
+++ b/packages/decisions/src/ferry_decisions/__init__.py
@@ -308,5 +308,6 @@
 }
 __all__ = sorted(n for names in _NAMES.values() for n in names)
 
-if not typing.TYPE_CHECKING:  # Else any name would pass the checker.
+# Otherwise the type checker would accept any name.
+if not typing.TYPE_CHECKING:
     __getattr__ = lazy.loader(__name__, _NAMES)
--- a/tools/gen_exports.py
+++ b/tools/gen_exports.py
@@ -68,7 +68,8 @@
         "}",
         "__all__ = sorted(n for names in _NAMES.values() for n in names)",
         "",
-        "if not typing.TYPE_CHECKING:  # Else any name would pass the checker.",
+        "# Otherwise the type checker would accept any name.",
+        "if not typing.TYPE_CHECKING:",
         f"    __getattr__ = {LOADER_MODULE}.loader(__name__, _NAMES)",
         "",
     ]
