--- a/packages/proxy/src/ferry_proxy/_access.py
+++ b/packages/proxy/src/ferry_proxy/_access.py
@@ -15,8 +15,8 @@
 from ferry_proxy import _refusals
 from ferry_proxy import _teams
 
-# How many hexadecimal digits of a key's digest messages contain: enough to tell
-# keys apart.
+# How many hexadecimal digits of a key's digest messages contain. These are
+# enough to tell keys apart.
 DIGEST_DIGITS_SHOWN = 8
 
 
--- a/packages/proxy/src/ferry_proxy/_active_configuration.py
+++ b/packages/proxy/src/ferry_proxy/_active_configuration.py
@@ -65,7 +65,7 @@
             return
         self.origin = Origin(item, source, self._clock.now())
         if known is not None and cfg.version == known.version:
-            return  # The same version, written again at another revision.
+            return  # This version was written again at another revision.
         self.configuration = cfg
         rates = cfg.teams.rates
         if rates != self.team_placement.rates:
--- a/packages/proxy/src/ferry_proxy/_catalogue.py
+++ b/packages/proxy/src/ferry_proxy/_catalogue.py
@@ -228,7 +228,7 @@
     def merge_changes(self, changes: _store.Changes, source: str) -> None:
         """Merges all changes between `revision` and a later revision."""
         if changes.revision.era != self.revision.era:
-            return  # Outdated: a snapshot of a new era has been read since.
+            return  # A snapshot of a new era has been read since.
         self._advance(changes)
         self.take(changes.items, source)
 
@@ -312,7 +312,7 @@
         taken = 0
         for item in sorted(items, key=lambda i: i.revision):
             if item.revision.era != self.revision.era:
-                continue  # Of an earlier era, or of one not read yet.
+                continue  # Its era is an earlier one, or is not read yet.
             known = self._items.get(item.key)
             if known is not None and known.revision >= item.revision:
                 continue
--- a/packages/proxy/src/ferry_proxy/_contact.py
+++ b/packages/proxy/src/ferry_proxy/_contact.py
@@ -13,7 +13,8 @@
 # 5 samples.
 LATENCY_WEIGHT = 0.2
 
-# Many network trips, and longer than any statement takes under normal load.
+# This allows for many network trips, and is longer than any statement takes
+# under normal load.
 MIN_REPLY_LIMIT_S = 0.15
 
 # The longest reply time of a live member, as a multiple of the mean time of a
--- a/packages/proxy/src/ferry_proxy/_control_commands.py
+++ b/packages/proxy/src/ferry_proxy/_control_commands.py
@@ -9,7 +9,7 @@
 from ferry_proxy import _policy
 from ferry_proxy import _pools
 
-# Has no effect: control commands precede all statements in the queue.
+# The value has no effect: control commands precede all statements in the queue.
 STATUS_PRIORITY = 0
 
 
--- a/packages/proxy/src/ferry_proxy/_copy_sources.py
+++ b/packages/proxy/src/ferry_proxy/_copy_sources.py
@@ -11,8 +11,8 @@
 
 PAUSE_FIRST_S = 0.2
 
-# Long enough that repeated answers, each of which may contain the whole
-# configuration, do not fill a narrow link.
+# The longest pause. It is long enough that repeated answers, each of which may
+# contain the whole configuration, do not fill a narrow link.
 PAUSE_MAX_S = 5.0
 
 
@@ -54,7 +54,7 @@
 
         Args:
             clock: The clock.
-            rng: Randomizes the pauses, so that nodes do not ask in step.
+            rng: Randomizes the pauses, so that nodes ask at different times.
         """
         self._clock = clock
         self._rng = rng
--- a/packages/proxy/src/ferry_proxy/_currency.py
+++ b/packages/proxy/src/ferry_proxy/_currency.py
@@ -157,5 +157,5 @@
         if first is None or not first.revision.era or origin is None:
             return math.inf
         if first.has_newer_version or origin.item.revision > first.revision:
-            return math.inf  # Written since the store was restored.
+            return math.inf  # It was written after the restore.
         return self._clock.now() - first.read_at
--- a/packages/proxy/src/ferry_proxy/_events.py
+++ b/packages/proxy/src/ferry_proxy/_events.py
@@ -338,7 +338,7 @@
         data = self._unsent + json.dumps(fields, default=str).encode() + b"\n"
         try:
             sent = os.write(self._fd, data)
-        except OSError:  # Usually a full pipe that nobody reads from.
+        except OSError:  # This is usually a full pipe that nobody reads.
             self._dropped["blocked"] += 1
             return
         # The rest of a partly written line precedes the next line.
--- a/packages/proxy/src/ferry_proxy/_followers.py
+++ b/packages/proxy/src/ferry_proxy/_followers.py
@@ -22,7 +22,8 @@
 
 RETRY_FIRST_S = 0.1
 
-# Below the time within which a configuration has to take effect.
+# The longest pause between two attempts. It is below the time within which a
+# configuration has to take effect.
 RETRY_MAX_S = 0.6
 ALL_KEYS = ""
 
--- a/packages/proxy/src/ferry_proxy/_forward_messages.py
+++ b/packages/proxy/src/ferry_proxy/_forward_messages.py
@@ -150,7 +150,8 @@
             route=self._route(),
             values=self.values,
             arrived=clock.now() - self.waited_s,
-            # Later than at the entry node, so that a read is never too stale.
+            # This is later than the arrival at the entry node, so that a read
+            # is never too stale.
             arrived_boot=clock.boot_now(),
             session_floor=_position(self.floor_term, self.floor_index),
             caller=_teams.Caller(self.team, self.key_digest, self.version),
--- a/packages/proxy/src/ferry_proxy/_forwarding.py
+++ b/packages/proxy/src/ferry_proxy/_forwarding.py
@@ -18,8 +18,8 @@
 from ferry_proxy import _requests
 from ferry_proxy import _statements
 
-# Added to a statement's time limit, so that the serving node's own reply on a
-# timeout arrives first.
+# This is added to a statement's time limit, so that the serving node's own
+# reply on a timeout arrives first.
 ANSWER_MARGIN_S = 0.05
 # The interval for checking for a new stream, which takes two network trips.
 STREAM_POLL_S = 0.03
--- a/packages/proxy/src/ferry_proxy/_groups.py
+++ b/packages/proxy/src/ferry_proxy/_groups.py
@@ -276,9 +276,9 @@
     def _members_to_ask(self) -> list[_pools.Pool]:
         """Returns the members to request status from in this round.
 
-        Normally the primary, as many replicas as a proof needs, in rotation,
-        and members not heard from lately; all if the primary is in doubt. Each
-        request briefly occupies a slot of its member.
+        These are normally the primary, as many replicas as a proof needs, in
+        rotation, and members not heard from lately. All are asked if the
+        primary is in doubt. Each request briefly occupies a member's slot.
         """
         pools = [p for n, p in self.pools.items() if n not in self._asking]
         leader = self.leader_pool
@@ -303,7 +303,7 @@
     def _ask_with_retry(
         self, pool: _pools.Pool, reports: dict[str, _members.Report]
     ) -> "decisions.Flow[None]":
-        """Retries once over another link, as a lost link is no lost member."""
+        """Retries once over another link, as only the first may be lost."""
         name = pool.member.id
         self._asking.add(name)
         try:
--- a/packages/proxy/src/ferry_proxy/_link_choice.py
+++ b/packages/proxy/src/ferry_proxy/_link_choice.py
@@ -2,7 +2,8 @@
 
 Members accept fewer connections than there are teams. A link runs the
 statements of a single team, and opening one occupies a slot of the member for
-about as long as a short statement. Pure functions of a pool's idle links.
+about as long as a short statement. The functions are pure functions of a
+pool's idle links.
 """
 
 import collections
@@ -11,7 +12,7 @@
 
 from ferry_proxy import _pooled_links
 
-# Time constant of the exponential decay of a team's use. A wave of traffic
+# The time constant of the exponential decay of a team's use. A wave of traffic
 # lasts 11 s, and a team that sends ten statements per second is recognized
 # within half a second.
 USE_DECAY_S = 4.0
--- a/packages/proxy/src/ferry_proxy/_lost_nodes.py
+++ b/packages/proxy/src/ferry_proxy/_lost_nodes.py
@@ -16,7 +16,7 @@
 from ferry_proxy import _records
 from ferry_proxy import _store
 
-# Longer than restarts, freezes and most partitions last.
+# This is longer than restarts, freezes and most partitions last.
 REMOVE_AFTER_S = 15.0
 
 # A node that reaches a smaller share of its peers removes no other node, since
@@ -78,5 +78,6 @@
 
     def _on_removed(self, fut: "decisions.Future[bool]") -> None:
         exc = fut.exception()
-        if exc is not None:  # Repeated after another `REMOVE_AFTER_S`.
+        # The removal is repeated after another `REMOVE_AFTER_S`.
+        if exc is not None:
             _events.emit(_events.DependencyLost("store", str(exc)))
--- a/packages/proxy/src/ferry_proxy/_peer_messages.py
+++ b/packages/proxy/src/ferry_proxy/_peer_messages.py
@@ -22,7 +22,7 @@
 # Level 1 takes 2.6 ms of a core for that configuration; level 6 would save
 # only 2 KB more.
 COMPRESSION_LEVEL = 1
-# Limits the size of a value after decompression.
+# The maximum size of a value after decompression.
 MAX_VALUE_BYTES = 8 * 1024 * 1024
 
 
--- a/packages/proxy/src/ferry_proxy/_policy.py
+++ b/packages/proxy/src/ferry_proxy/_policy.py
@@ -54,14 +54,16 @@
             about 5 ms; one that is five times slower is still in time.
         connect_timeout_s: Timeout of a new connection. A handshake takes 12 ms
             and a network trip 3 ms.
-        suspect_s: Silence after which a primary is suspected; two probes.
+        suspect_s: Silence after which a primary is suspected. This is the
+            time of two probes.
         unanswered_s: A primary that has left everything sent to it unanswered
-            for this long is suspected, too. Longer than the pause between
-            probes; idle members answer in 5 ms, busy ones every 40 ms.
-        opinion_s: A peer that heard from the primary within this time vouches
-            for it.
+            for this long is suspected, too. This is longer than the pause
+            between probes; idle members answer in 5 ms, busy ones every 40 ms.
+        opinion_s: A peer that heard from the primary within this time confirms
+            that it is alive.
         doubt_s: A commit that took longer has to be proved before it is
-            acknowledged. Twice what slow members take under normal load.
+            acknowledged. This is twice what slow members take under normal
+            load.
         stall_s: How long a primary's newest commit may remain unreceived by
             all replicas.
         claim_valid_s: How long the holder of a claim may act on it.
--- a/packages/proxy/src/ferry_proxy/_pools.py
+++ b/packages/proxy/src/ferry_proxy/_pools.py
@@ -280,7 +280,7 @@
         missing_links: collections.Counter[str] = collections.Counter()
         for waiter in self._waiters.in_order():
             if waiter.is_done:
-                continue  # Served by a nested call, on assigning a link.
+                continue  # A nested call, on assigning a link, served it.
             if self._may_use_link(waiter.use):
                 pooled = self._find_idle(waiter)
                 if pooled is not None:
--- a/packages/proxy/src/ferry_proxy/_promotions.py
+++ b/packages/proxy/src/ferry_proxy/_promotions.py
@@ -30,7 +30,7 @@
 from ferry_proxy import _store
 
 # Nodes claim one after the other, this far apart. A claim reaches the next
-# node in less.
+# node in less time.
 RANK_DELAY_S = 0.06
 # All nodes from this rank on claim at the same time, and the store accepts one
 # of the claims.
@@ -38,7 +38,8 @@
 OPINION_WAIT_S = 0.1  # A peer answers in a few ms, a slow one in 25 ms.
 FAILURE_BACKOFF_S = 0.4
 MAX_PROMOTE_WAIT_S = 16.0  # About half of `_fencing.MAX_REMOVED_MEMBER_S`.
-# The vetoing peer may lose the primary next, and asking it again is cheap.
+# The vetoing peer may lose contact with the primary next, and asking it again
+# is cheap.
 VETO_BACKOFF_S = 0.1
 LEADER_POLL_S = 0.03  # How often a promoted member is asked whether it leads.
 
--- a/packages/proxy/src/ferry_proxy/_queueing.py
+++ b/packages/proxy/src/ferry_proxy/_queueing.py
@@ -5,7 +5,8 @@
 sent it all their statements, urgent ones would wait behind the others, and all
 would be late. Each node therefore sends a member only its share of the
 statements that keep the member busy. The others wait at the node, by priority,
-and a statement that would wait too long is rejected at once. Pure functions.
+and a statement that would wait too long is rejected at once. All functions are
+pure.
 """
 
 import math
--- a/packages/proxy/src/ferry_proxy/_requests.py
+++ b/packages/proxy/src/ferry_proxy/_requests.py
@@ -109,9 +109,9 @@
     ) -> float:
         """Returns until when it may wait for a member that can run it.
 
-        During a change of primary it pays to wait, since the change takes
-        about a second. At other times the caller is better off with an early
-        refusal, so that it can ask another node.
+        During a change of primary, waiting is better than a refusal, since
+        the change takes about a second. At other times the caller is better off
+        with an early refusal, so that it can ask another node.
 
         Args:
             policy: The tunables.
--- a/packages/proxy/src/ferry_proxy/_routing.py
+++ b/packages/proxy/src/ferry_proxy/_routing.py
@@ -15,17 +15,17 @@
 # traffic.
 REMOTE_FACTOR = 1.5
 
-# Keeps reads away from the primary unless the replicas are slow.
+# This keeps reads away from the primary unless the replicas are slow.
 PRIMARY_FACTOR = 20.0
 
-# Selects an unresponsive member only if no other is left.
+# With this factor, an unresponsive member is selected only if no other is left.
 UNRESPONSIVE_FACTOR = 1000.0
 
 # The wait at a replica beyond which the primary takes reads, too: about one
 # statement.
 MAX_REPLICA_WAIT_S = 0.03
 
-# Offsets `PRIMARY_FACTOR` for a member with a longer wait than that.
+# This offsets `PRIMARY_FACTOR` for a member with a longer wait than that.
 QUEUED_FACTOR = 20.0
 
 # The cost of opening a link: 12 ms of a slot and two round trips of 2 ms.
--- a/packages/proxy/src/ferry_proxy/_serving_plan.py
+++ b/packages/proxy/src/ferry_proxy/_serving_plan.py
@@ -186,7 +186,7 @@
         )
 
     def preferred(self, service: str, count: int) -> list[_records.NodeEntry]:
-        """Returns the `count` nodes that rank first, candidates foremost."""
+        """Returns the first `count` nodes by rank, candidates before others."""
         key = (service, count)
         if key not in self._chosen:
             self._chosen[key] = self._choose(service, count)
--- a/packages/proxy/src/ferry_proxy/_surveys.py
+++ b/packages/proxy/src/ferry_proxy/_surveys.py
@@ -22,8 +22,8 @@
 
 # A peer answers in a few milliseconds.
 SURVEY_TIMEOUT_S = 0.2
-# Allows for the surveyor's round: idle members answer it in 5 ms, busy ones in
-# 30 ms.
+# This allows for the surveyor's round: idle members answer it in 5 ms, busy
+# ones in 30 ms.
 SURVEYOR_ROUND_S = 0.04
 # Requests end this long after the last call of `survey`, when the group is no
 # longer served here.
--- a/packages/proxy/src/ferry_proxy/_teams.py
+++ b/packages/proxy/src/ferry_proxy/_teams.py
@@ -13,7 +13,8 @@
 
 import attrs
 
-# Long enough that keys do not collide, neither by chance nor by construction.
+# This is long enough that keys do not collide, neither by chance nor by
+# construction.
 DIGEST_BYTES = 16
 
 # The team name where a deployment has no teams, or a route is open to all.
