--- a/packages/proxy/src/ferry_proxy/_peer_messages.py
+++ b/packages/proxy/src/ferry_proxy/_peer_messages.py
@@ -22,7 +22,7 @@
 # Level 1 takes 2.6 ms of a core for that configuration; level 6 would save
 # only 2 KB more.
 COMPRESSION_LEVEL = 1
-# Limits the size of a value after decompression.
+# The maximum size of a value after decompression.
 MAX_VALUE_BYTES = 8 * 1024 * 1024
 
 
@@ -168,8 +168,8 @@
         covered: The number of the newest change that the sender knows.
         is_whole: Whether the rows are the complete contents, so that keys
             without a row do not exist.
-        kept: The row of the configuration in force, if it is not among the
-            rows; otherwise None.
+        kept: The row of the active configuration, if it is not among the rows;
+            otherwise None.
     """
 
     rows: list[tuple[str, bytes | None, int, bool]]
