--- a/packages/proxy/src/ferry_proxy/tests/test_restored_claims.py
+++ b/packages/proxy/src/ferry_proxy/tests/test_restored_claims.py
@@ -22,7 +22,7 @@
 POLICY = _policy.Policy()
 REPLICA = _members.Role.REPLICA
 
-# Longer than any node waits for the holder of an older claim.
+# This exceeds the time that a node waits for the holder of an older claim.
 SETTLE_S = 20.0
 
 
